--- a/bench/matching_fuzz.cpp
+++ b/bench/matching_fuzz.cpp
@@ -23,7 +23,7 @@
     site.zones = {"central", "east"};
     site.kinds = {"small", "large"};
     site.types.resize(3);
-    site.types[2].effect = Effect::Exclusive;
+    site.types[2].idempotency = Idempotency::NonIdempotent;
     site.transmissions = 8;
     return site;
 }
@@ -81,7 +81,7 @@
         if (decision.rule != set->decide_in_turn(told, other).rule)
             finding(found, "the index and the plain order differ", rules);
         if (decision.traffic >= 0 &&
-            here.types[static_cast<std::size_t>(told.traffic)].effect == Effect::Exclusive &&
+            here.types[static_cast<std::size_t>(told.traffic)].idempotency == Idempotency::NonIdempotent &&
             decision.traffic != told.traffic)
             finding(found, "an exclusive lookup was loosened", rules);
         rest = rest.substr(std::min<std::size_t>(3, rest.size()));
--- a/bench/shared_state.cpp
+++ b/bench/shared_state.cpp
@@ -36,13 +36,13 @@
     return values[static_cast<std::size_t>(q * static_cast<double>(values.size() - 1))];
 }
 
-SiteFacts module_site(int routers) {
-    SiteFacts site{};
-    static_cast<Bounds&>(site) = rig::shared_site();
-    site.traffic = {{400 * ms, 2, Effect::Rerunnable, Group::All, 4 * second, 0, false}};
+SiteSettings module_site(int routers) {
+    SiteSettings site{};
+    static_cast<RoutingSettings&>(site) = rig::shared_site();
+    site.traffic = {{400 * ms, 2, Idempotency::Idempotent, DedupScope::All, 4 * second, 0, false}};
     site.routers = routers;
     site.routers_by_zone = {routers};
-    site.kb_per_s = 5000;
+    site.client_kb_per_s = 5000;
     return site;
 }
 
@@ -81,7 +81,7 @@
     std::uint64_t before = 0, after = 0;
     for (int i = 0; i < routers; i++) before += fleet->figures(i).bytes_sent;
     feed::Endpoint endpoint;
-    endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
+    endpoint.entry = {parent, EndpointState::Ready, 4, 1, 0, 0, started};
     for (int i = 0; i < routers; i++)
         fleet->visit(i, [&](rig::Partner& one) {
             one.exchange().listed({false, {endpoint}}, one.times(fleet->clock(i)));
@@ -89,7 +89,7 @@
     boost::random::mt19937 chance(3);
     boost::random::uniform_01<double> unit;
     std::vector<Micros> seen;
-    auto end = started + rig::shared_site().parent_cold;
+    auto end = started + rig::shared_site().parent_cold_period;
     for (Micros t = started; t < end; t += 2 * ms) {
         if (cut && t - started >= 2 * second && t - started < 2 * second + 2 * ms)
             for (int a = 0; a < routers; a++)
@@ -105,7 +105,7 @@
     for (int i = 0; i < routers; i++) after += fleet->figures(i).bytes_sent;
     if (bytes) *bytes = static_cast<double>(after - before) / routers / 10;
     rig::ColdTerms terms;
-    terms.cold = rig::shared_site().parent_cold;
+    terms.cold = rig::shared_site().parent_cold_period;
     return rig::judge(seen, started, end, terms, 0);
 }
 
@@ -115,24 +115,24 @@
     std::vector<Router> all;
     for (int i = 0; i < routers; i++) {
         all.emplace_back(module_site(routers), static_cast<std::uint64_t>(i + 1));
-        all.back().list({{parent, Listed::Ready, 4, 1, 0, 0, started}}, true, started);
+        all.back().update_endpoints({{parent, EndpointState::Ready, 4, 1, 0, 0, started}}, true, started);
     }
     boost::random::mt19937 chance(3);
     boost::random::uniform_01<double> unit;
     std::vector<Micros> seen;
-    auto end = started + rig::shared_site().parent_cold;
+    auto end = started + rig::shared_site().parent_cold_period;
     for (Micros now = started; now < end; now += 2 * ms)
         for (auto& router : all) {
             if (unit(chance) >= per_s * 0.002) continue;
             auto& server = *find_server(router, parent);
             if (!within_cold_budget(router, server, work, now)) continue;
-            server.spent.push_back({now, work});
-            server.finished.push_back({now, work});  // answered as soon as can be
-            if (server.finished.size() > 64) server.finished.pop_front();
+            server.cold_spending.push_back({now, work});
+            server.answered.push_back({now, work});  // answered as soon as can be
+            if (server.answered.size() > 64) server.answered.pop_front();
             seen.push_back(now);
         }
     rig::ColdTerms terms;
-    terms.cold = rig::shared_site().parent_cold;
+    terms.cold = rig::shared_site().parent_cold_period;
     return rig::judge(seen, started, end, terms, 0);
 }
 
@@ -142,16 +142,16 @@
     std::vector<double> delays;
     for (int round = 0; round < rounds; round++) {
         auto fleet = a_fleet(routers, 11 + static_cast<std::uint64_t>(round), 300);
-        auto tell = [&](int router, Listed listed) {
+        auto tell = [&](int router, EndpointState listed) {
             feed::Endpoint one, other;
             one.entry = {2, listed, 4, 0, 0, 0, 0};
-            other.entry = {3, Listed::Ready, 4, 0, 0, 0, 0};
+            other.entry = {3, EndpointState::Ready, 4, 0, 0, 0, 0};
             fleet->visit(router, [&](rig::Partner& p) {
                 p.exchange().listed({false, {one, other}}, p.times(fleet->clock(router)));
                 p.share(fleet->clock(router));
             });
         };
-        for (int i = 0; i < routers; i++) tell(i, Listed::Ready);
+        for (int i = 0; i < routers; i++) tell(i, EndpointState::Ready);
         fleet->run_until(fleet->now() + second + round * (77 * ms));
         auto told = fleet->now();
         std::set<int> deaf;
@@ -160,7 +160,7 @@
                 deaf.insert(i);
                 fleet->protocol(i)->live = 0;
             } else {
-                tell(i, Listed::Draining);
+                tell(i, EndpointState::Draining);
             }
         for (Micros limit = told + 10 * second; !deaf.empty() && fleet->now() < limit;) {
             fleet->run_until(fleet->now() + ms);
@@ -185,12 +185,12 @@
 Noticed slow_server(int routers, double per_s, bool shared) {
     auto fleet = a_fleet(routers, 21, 300);
     std::vector<Router> all;
-    std::vector<ListEntry> entries;
+    std::vector<EndpointEntry> entries;
     constexpr CacheId servers = 10, slow = 4;
-    for (CacheId id = 1; id <= servers; id++) entries.push_back({id, Listed::Ready, 4, 0, 0, 0, 0});
+    for (CacheId id = 1; id <= servers; id++) entries.push_back({id, EndpointState::Ready, 4, 0, 0, 0, 0});
     for (int i = 0; i < routers; i++) {
         all.emplace_back(module_site(routers), static_cast<std::uint64_t>(i + 1));
-        all.back().list(entries, true, fleet->now());
+        all.back().update_endpoints(entries, true, fleet->now());
     }
     boost::random::mt19937 chance(9);
     boost::random::uniform_01<double> unit;
@@ -207,22 +207,22 @@
                 auto id = 1 + static_cast<CacheId>(unit(chance) * servers);
                 auto& server = *find_server(router, id);
                 // Now and then one fails anywhere; times scatter by half.
-                server.verdicts.push_back({t, unit(chance) < 0.02 ? 1.0 : 0.0});
+                server.failures.push_back({t, unit(chance) < 0.02 ? 1.0 : 0.0});
                 server.slowness.push_back({t, (id == slow ? 6.0 : 1.0) * (0.75 + 0.5 * unit(chance))});
-                for (auto* samples : {&server.verdicts, &server.slowness})
+                for (auto* samples : {&server.failures, &server.slowness})
                     if (samples->size() > 16) samples->pop_front();
             }
             if (shared && (t - begin) / (10 * ms) % 10 == i % 10) {
                 fleet->visit(i, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(i));
                     for (auto& server : router.servers)
-                        server.hearsay = one.exchange().hearsay(server.id, 0, times);
+                        server.peer_report = one.exchange().hearsay(server.id, 0, times);
                     if ((t - begin) / (100 * ms) % 3 == 0)
-                        one.exchange().witnessed(router.witnessed(t), router.measured(t), times);
+                        one.exchange().witnessed(router.health_reports(t), router.measured_servers(t), times);
                 });
             }
             for (auto& server : router.servers) {
-                auto* wrong = complaint(router, server, t);
+                auto* wrong = ejection_reason(router, server, t);
                 if (!wrong) continue;
                 if (server.id != slow) {
                     bool first = condemned.insert({i, server.id}).second;
@@ -271,16 +271,18 @@
         for (int i = 0; i < routers; i++) {
             if (unit(chance) >= 10 * 0.005) continue;
             auto at = std::lower_bound(weight.begin(), weight.end(), unit(chance) * sum) - weight.begin();
-            LookupFacts lookup{};
+            LookupInfo lookup{};
             lookup.object = unit(chance) < 0.5 ? 1 + static_cast<ObjectId>(at) : next_name++;
             auto& router = all[static_cast<std::size_t>(i)];
             if (shared)
                 fleet->visit(i, [&](rig::Partner& one) {
-                    lookup.elsewhere = one.exchange().asked(lookup.object, one.times(fleet->clock(i)));
-                    router.heard = one.exchange().heard_routers();
+                    lookup.lookups_elsewhere =
+                        one.exchange().asked(lookup.object, one.times(fleet->clock(i)));
+                    router.counting_routers = one.exchange().heard_routers();
                 });
             askers[lookup.object].insert(i);
-            kept.over_fleet += lookup.elsewhere > static_cast<double>(askers[lookup.object].size()) - 1;
+            kept.over_fleet +=
+                lookup.lookups_elsewhere > static_cast<double>(askers[lookup.object].size()) - 1;
             bool keep = keep_or_pass(router, lookup, t);
             bool counts = t - begin > 5 * second;
             asked += counts;
--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -55,7 +55,7 @@
     return static_cast<Outcome>(code);
 }
 
-SiteFacts read_boot(std::string_view text) {
+SiteSettings read_boot(std::string_view text) {
     try {
         return site::read_facts(nlohmann::json::parse(text));
     } catch (const nlohmann::json::exception& error) {
@@ -98,7 +98,7 @@
             case Attach: {
                 auto text = tail_piece(tail, read_number(record, 9, 4), read_number(record, 13, 4));
                 routers[current] = std::make_unique<Router>(read_boot(text), read_number(record, 1, 8));
-                write(router().tend(now));
+                write(router().run_maintenance(now));
                 break;
             }
             case Detach:
@@ -117,22 +117,23 @@
                 reminder(read_number(record, 1, 8));
                 break;
             case Accepted:
-                if (auto handle = router().find(read_number(record, 1, 8)))
-                    write(handle->held.facts.id,
-                          handle->accepted(static_cast<int>(read_number(record, 15, 1)),
-                                           static_cast<Micros>(read_number(record, 16, 4)), now));
+                if (auto handle = router().find_lookup(read_number(record, 1, 8)))
+                    write(handle->lookup.info.id,
+                          handle->streaming_started(static_cast<int>(read_number(record, 15, 1)),
+                                                    static_cast<Micros>(read_number(record, 16, 4)), now));
                 break;
             case Vanished:
-                if (auto handle = router().find(read_number(record, 1, 8)))
-                    write(read_number(record, 1, 8), handle->left());
+                if (auto handle = router().find_lookup(read_number(record, 1, 8)))
+                    write(read_number(record, 1, 8), handle->client_left());
                 break;
             case Outdated:
-                router().purged(read_number(record, 1, 8), static_cast<int>(read_number(record, 9, 2)),
-                                static_cast<Micros>(read_number(record, 11, 4)), now);
+                router().record_purge(read_number(record, 1, 8), static_cast<int>(read_number(record, 9, 2)),
+                                      static_cast<Micros>(read_number(record, 11, 4)), now);
                 break;
             case CheckResult:
-                router().probed(read_number(record, 6, 6), read_outcome(record, 1),
-                                static_cast<Micros>(read_number(record, 2, 4)), read_load(record, 12), now);
+                router().probe_ended(read_number(record, 6, 6), read_outcome(record, 1),
+                                     static_cast<Micros>(read_number(record, 2, 4)), read_load(record, 12),
+                                     now);
                 break;
             case Message:  // routers do not write to each other yet
                 tail_piece(tail, read_number(record, 5, 4), read_number(record, 9, 4));
@@ -149,71 +150,71 @@
 }
 
 void Drill::lookup(std::string_view record) {
-    LookupFacts facts{};
+    LookupInfo facts{};
     facts.id = read_number(record, 1, 8);
     facts.traffic = static_cast<int>(read_number(record, 9, 1));
     facts.object = read_number(record, 14, 8);
-    facts.due = read_time(record, 22);
+    facts.deadline = read_time(record, 22);
     facts.kbytes = read_amount(record, 30);
     facts.group = static_cast<int>(read_amount(record, 34));
     facts.part = static_cast<int>(read_amount(record, 38));
     auto flags = read_number(record, 42, 1);
-    facts.repeat = flags & 2;
+    facts.retry = flags & 2;
     facts.write = flags & 4;
-    if (static_cast<std::size_t>(facts.traffic) >= router().traffic.size())
+    if (static_cast<std::size_t>(facts.traffic) >= router().traffic_types.size())
         throw BadInput("unknown traffic type");
-    write(facts.id, router().take(facts, now).place(now));
+    write(facts.id, router().add_lookup(facts, now).first_attempt(now));
 }
 
 void Drill::ended(std::string_view record) {
-    auto handle = router().find(read_number(record, 1, 8));
+    auto handle = router().find_lookup(read_number(record, 1, 8));
     if (!handle) return;
-    AttemptEnd end{};
+    AttemptResult end{};
     end.outcome = read_outcome(record, 9);
-    end.lag = static_cast<Micros>(read_number(record, 10, 4));
-    end.round = static_cast<int>(read_number(record, 14, 1));
-    end.waited = static_cast<Micros>(read_number(record, 15, 4));
+    end.elapsed = static_cast<Micros>(read_number(record, 10, 4));
+    end.attempt = static_cast<int>(read_number(record, 14, 1));
+    end.first_byte_wait = static_cast<Micros>(read_number(record, 15, 4));
     end.cache = read_number(record, 19, 6);
     auto note = read_number(record, 25, 4);
-    if (note > static_cast<std::uint64_t>(Note::OriginFailed)) throw BadInput("unknown remark");
-    end.note = static_cast<Note>(note);
-    end.closed = read_number(record, 29, 1) != 0;
+    if (note > static_cast<std::uint64_t>(CacheStatus::OriginError)) throw BadInput("unknown remark");
+    end.cache_status = static_cast<CacheStatus>(note);
+    end.lookup_closed = read_number(record, 29, 1) != 0;
     end.load = read_load(record, 30);
-    auto id = handle->held.facts.id;  // the handle may be spent by the call
-    write(id, handle->ended(end, now));
+    auto id = handle->lookup.info.id;  // the handle may be spent by the call
+    write(id, handle->attempt_ended(end, now));
 }
 
 void Drill::members(std::string_view record) {
     auto scope = read_number(record, 1, 1);
     if (scope > 3) throw BadInput("unknown scope of a list");
     if (scope == 3) {
-        router().list_failed();
+        router().endpoint_list_failed();
         return;
     }
     auto count = read_number(record, 14, 4);
     auto rows = tail_piece(tail, read_number(record, 10, 4), count * entry_bytes);
-    std::vector<ListEntry> entries;
+    std::vector<EndpointEntry> entries;
     for (std::size_t i = 0; i < count; i++) {
         auto row = rows.substr(i * entry_bytes, entry_bytes);
         auto status = read_number(row, 0, 1);
         if (status > 2) throw BadInput("unknown status of a cache");
-        entries.push_back({read_number(row, 6, 6), static_cast<Listed>(status), read_amount(row, 1),
+        entries.push_back({read_number(row, 6, 6), static_cast<EndpointState>(status), read_amount(row, 1),
                            static_cast<int>(read_number(row, 5, 1)),
                            static_cast<int>(read_number(row, 12, 2)),
                            static_cast<int>(read_number(row, 14, 2)), read_time(row, 16)});
     }
-    router().list(entries, scope != 0, now);
+    router().update_endpoints(entries, scope != 0, now);
 }
 
 void Drill::reminder(std::uint64_t token) {
     if (token == upkeep_token)
-        write(router().tend(now));
-    else if (auto handle = router().find(token))
-        write(token, handle->look(now));
+        write(router().run_maintenance(now));
+    else if (auto handle = router().find_lookup(token))
+        write(token, handle->check(now));
 }
 
-void Drill::write(LookupId id, const Answer& answer) {
-    for (int round : answer.withdraw) {
+void Drill::write(LookupId id, const RoutingDecision& answer) {
+    for (int round : answer.cancel) {
         begin(Revoke);
         put(1, 8, id);
         put(9, 1, round);
@@ -222,29 +223,30 @@
         begin(ServeVia);
         put(1, 8, id);
         put(9, 1, answer.send->rank);
-        put(10, 4, std::min(answer.send->oldest, longest_wait));
-        put(14, 4, std::min(answer.send->limit, longest_wait));
-        put(18, 6, answer.send->source);
+        put(10, 4, std::min(answer.send->max_copy_age, longest_wait));
+        put(14, 4, std::min(answer.send->time_limit, longest_wait));
+        put(18, 6, answer.send->upstream);
         put(24, 6, answer.send->cache);
         put(30, 1,
-            (answer.send->join ? 1 : 0) | (answer.send->held_only ? 2 : 0) | (answer.send->renew ? 8 : 0));
+            (answer.send->collapse ? 1 : 0) | (answer.send->only_if_cached ? 2 : 0) |
+                (answer.send->refresh ? 8 : 0));
     }
-    if (answer.final == Final::Rejected) {
+    if (answer.final_result == FinalResult::Rejected) {
         begin(OverloadReply);
         put(1, 8, id);
-        put(9, 4, std::min(answer.come_back, longest_wait));
-    } else if (answer.final == Final::BrokenOff) {
+        put(9, 4, std::min(answer.retry_after, longest_wait));
+    } else if (answer.final_result == FinalResult::Failed) {
         begin(DropRequest);
         put(1, 8, id);
     }
-    if (answer.look_in > 0) {
+    if (answer.next_check > 0) {
         begin(Arm);
-        put(1, 4, std::min(answer.look_in, longest_wait));
+        put(1, 4, std::min(answer.next_check, longest_wait));
         put(5, 8, id);
     }
 }
 
-void Drill::write(const Upkeep& upkeep) {
+void Drill::write(const Maintenance& upkeep) {
     for (auto cache : upkeep.probe) {
         begin(Inspect);
         put(1, 6, cache);
@@ -257,9 +259,9 @@
         begin(Subscribe);
         put(1, 1, 1);
     }
-    if (upkeep.look_in > 0) {
+    if (upkeep.next_check > 0) {
         begin(Arm);
-        put(1, 4, std::min(upkeep.look_in, longest_wait));
+        put(1, 4, std::min(upkeep.next_check, longest_wait));
         put(5, 8, upkeep_token);
     }
 }
--- a/src/feed/event.cpp
+++ b/src/feed/event.cpp
@@ -27,16 +27,16 @@
     entry.id = in.number(4);
     endpoint.address = static_cast<std::uint32_t>(in.number(4));
     endpoint.port = static_cast<std::uint16_t>(in.number(2));
-    static constexpr std::array states = {Listed::Ready, Listed::Draining, Listed::Gone};
+    static constexpr std::array states = {EndpointState::Ready, EndpointState::Draining, EndpointState::Gone};
     auto state = in.number(1), zone = in.number(1), kind = in.number(1);
     if (state > 2 || zone >= terms.zones.size() || kind >= terms.kinds.size())
         throw Malformed("a record of the list names what the settings do not hold");
-    entry.listed = states[state];
+    entry.state = states[state];
     entry.zone = static_cast<int>(zone);
     entry.kind = static_cast<int>(kind);
     entry.cell = static_cast<int>(in.number(2));
-    entry.rating = static_cast<double>(in.number(4)) / 1000;
-    entry.started = read_ms(in);
+    entry.weight = static_cast<double>(in.number(4)) / 1000;
+    entry.started_at = read_ms(in);
     return endpoint;
 }
 
--- a/src/feed/event.hpp
+++ b/src/feed/event.hpp
@@ -17,7 +17,7 @@
 inline constexpr std::size_t longest_frame = 4'000'000;
 
 struct Endpoint {
-    ListEntry entry{};
+    EndpointEntry entry{};
     std::uint32_t address = 0;
     std::uint16_t port = 0;
 };
--- a/src/feed/known.cpp
+++ b/src/feed/known.cpp
@@ -45,10 +45,10 @@
     entry.zone = place_of(told.at("zone").get<std::string>(), terms.zones);
     entry.kind = place_of(told.at("kind").get<std::string>(), terms.kinds);
     entry.cell = told.value("cell", 0);
-    entry.listed = static_cast<Listed>(place_of(told.at("state").get<std::string>(), states));
-    entry.rating = told.at("weight").get<double>();
-    if (!(entry.rating >= 0 && entry.rating < 1e9)) throw Unusable("known events: a weight is out of range");
-    entry.started = read_ms(told.at("started_ms"));
+    entry.state = static_cast<EndpointState>(place_of(told.at("state").get<std::string>(), states));
+    entry.weight = told.at("weight").get<double>();
+    if (!(entry.weight >= 0 && entry.weight < 1e9)) throw Unusable("known events: a weight is out of range");
+    entry.started_at = read_ms(told.at("started_ms"));
     return endpoint;
 }
 
--- a/src/http/reply.cpp
+++ b/src/http/reply.cpp
@@ -35,21 +35,21 @@
     }
 }
 
-Note read_note(std::string_view word) {
-    static constexpr auto words =
-        std::to_array<std::pair<std::string_view, Note>>({{"HIT", Note::Hit},
-                                                          {"MISS", Note::Filled},
-                                                          {"MISS_ORIGIN", Note::FilledByOrigin},
-                                                          {"COLLAPSED", Note::Joined},
-                                                          {"STALE", Note::Old},
-                                                          {"UP_BUSY", Note::SourceRefused},
-                                                          {"UP_DOWN", Note::SourceLost},
-                                                          {"UP_MISS", Note::SourceLacks},
-                                                          {"NO_FILL", Note::NoPlace},
-                                                          {"ORIGIN_ERR", Note::OriginFailed}});
+CacheStatus read_note(std::string_view word) {
+    static constexpr auto words = std::to_array<std::pair<std::string_view, CacheStatus>>(
+        {{"HIT", CacheStatus::Hit},
+         {"MISS", CacheStatus::Filled},
+         {"MISS_ORIGIN", CacheStatus::FilledFromOrigin},
+         {"COLLAPSED", CacheStatus::Collapsed},
+         {"STALE", CacheStatus::Stale},
+         {"UP_BUSY", CacheStatus::UpstreamBusy},
+         {"UP_DOWN", CacheStatus::UpstreamDown},
+         {"UP_MISS", CacheStatus::UpstreamMiss},
+         {"NO_FILL", CacheStatus::NoFillSlot},
+         {"ORIGIN_ERR", CacheStatus::OriginError}});
     auto found =
         std::find_if(std::begin(words), std::end(words), [&](auto& pair) { return pair.first == word; });
-    return found == std::end(words) ? Note::None : found->second;
+    return found == std::end(words) ? CacheStatus::None : found->second;
 }
 
 // Settings and reports use two sets of words for the same figures.
@@ -76,9 +76,9 @@
         case 404:
             return Outcome::Miss;
         case 503:
-            return reply.never_ran ? Outcome::Full : Outcome::Error;
+            return reply.never_ran ? Outcome::Overloaded : Outcome::Error;
         case 504:
-            return reply.never_ran ? Outcome::Moot : Outcome::Error;
+            return reply.never_ran ? Outcome::NotSent : Outcome::Error;
         default:
             return Outcome::Error;
     }
--- a/src/http/reply.hpp
+++ b/src/http/reply.hpp
@@ -16,7 +16,7 @@
     int status = 0;
     bool never_ran = false;  // the cache says so
     bool closes = false;     // the connection can't be used again
-    Note note = Note::None;
+    CacheStatus note = CacheStatus::None;
     Micros waited = 0;  // how long a fill waited for its first byte, 0: not told
     LoadReport load;
     std::string tag;  // of the copy
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -20,7 +20,7 @@
     return head + (has_budget ? fmt::format("X-Budget: {}\r\n\r\n", budget / ms) : "\r\n") + body;
 }
 
-Request transmission(const LookupFacts& lookup, const Transmission& order, std::string_view traffic,
+Request transmission(const LookupInfo& lookup, const AttemptPlan& order, std::string_view traffic,
                      const Carried& carried) {
     Request request{.head = {}, .body = std::string(carried.body), .has_budget = true};
     request.head.reserve(512);
@@ -29,21 +29,22 @@
                    lookup.wire_object ? lookup.wire_object : lookup.object, lookup.part,
                    cache_name(order.cache), lookup.id);
     if (lookup.wire_object) fmt::format_to(put, "X-Key: {:016x}\r\n", lookup.object);
-    if (order.source != 0 && order.source != order.cache)
-        fmt::format_to(put, "X-Parent: {}\r\n", cache_name(order.source));
+    if (order.upstream != 0 && order.upstream != order.cache)
+        fmt::format_to(put, "X-Parent: {}\r\n", cache_name(order.upstream));
     if (order.rank > 0) fmt::format_to(put, "X-Rank: {}\r\n", order.rank);
     // Rounded down, so that no copy is older than allowed; 0 would ask for the fresh time of the traffic
     // type, so the youngest that can be asked for is 1 ms.
-    if (order.oldest > 0) fmt::format_to(put, "X-Fresh-Ms: {}\r\n", std::max<Micros>(1, order.oldest / ms));
+    if (order.max_copy_age > 0)
+        fmt::format_to(put, "X-Fresh-Ms: {}\r\n", std::max<Micros>(1, order.max_copy_age / ms));
     std::string options;
     auto option = [&](bool wanted, const char* word) {
         if (!wanted) return;
         if (!options.empty()) options += '+';
         options += word;
     };
-    option(order.join, "ride");
-    option(order.held_only, "have-only");
-    option(order.renew, "update");
+    option(order.collapse, "ride");
+    option(order.only_if_cached, "have-only");
+    option(order.refresh, "update");
     if (!options.empty()) fmt::format_to(put, "X-Opts: {}\r\n", options);
     if (!carried.have.empty()) fmt::format_to(put, "X-Have: {}\r\n", carried.have);
     if (!carried.ticket.empty()) fmt::format_to(put, "X-Replay-Key: {}\r\n", carried.ticket);
--- a/src/http/request.hpp
+++ b/src/http/request.hpp
@@ -26,7 +26,7 @@
 
 // Where a rule has made a key, the path still names the object as the client did, and X-Key the key under
 // which a copy is kept and looked for.
-Request transmission(const LookupFacts& lookup, const Transmission& order, std::string_view traffic,
+Request transmission(const LookupInfo& lookup, const AttemptPlan& order, std::string_view traffic,
                      const Carried& carried);
 Request probe();
 
--- a/src/launch/launch.cpp
+++ b/src/launch/launch.cpp
@@ -96,7 +96,7 @@
 }
 
 route::Site Launch::rule_site() const {
-    return {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.transmissions_cap};
+    return {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.max_attempts};
 }
 
 // Guards against clients that are let in by the limit that is told, while the system grants less: none would
--- a/src/launch/launch.hpp
+++ b/src/launch/launch.hpp
@@ -26,7 +26,7 @@
     feed::Address listen, coordinator;
     std::uint64_t seed = 0;
     Room room;
-    SiteFacts facts{};
+    SiteSettings facts{};
     site::Terms terms;
     feed::Known known;
     route::Site rule_site() const;              // what rules have to know
--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -11,18 +11,20 @@
 constexpr std::size_t many_gone = 4096;
 constexpr Micros remembered = 600'000'000;
 
-int badness(Listed listed) { return listed == Listed::Gone ? 2 : listed == Listed::Draining ? 1 : 0; }
+int badness(EndpointState listed) {
+    return listed == EndpointState::Gone ? 2 : listed == EndpointState::Draining ? 1 : 0;
+}
 
 bool alike(const feed::Endpoint& a, const feed::Endpoint& b) {
-    return std::tie(a.address, a.port, a.entry.listed, a.entry.rating, a.entry.kind, a.entry.cell,
-                    a.entry.zone, a.entry.started) == std::tie(b.address, b.port, b.entry.listed,
-                                                               b.entry.rating, b.entry.kind, b.entry.cell,
-                                                               b.entry.zone, b.entry.started);
+    return std::tie(a.address, a.port, a.entry.state, a.entry.weight, a.entry.kind, a.entry.cell,
+                    a.entry.zone, a.entry.started_at) == std::tie(b.address, b.port, b.entry.state,
+                                                                  b.entry.weight, b.entry.kind, b.entry.cell,
+                                                                  b.entry.zone, b.entry.started_at);
 }
 
 }  // namespace
 
-Book::Book(const SiteFacts& facts, const std::vector<std::string>& zones, operate::Membership membership)
+Book::Book(const SiteSettings& facts, const std::vector<std::string>& zones, operate::Membership membership)
     : zone(facts.zone),
       parent_kind(facts.parent_kind),
       origin_kind(facts.origin_kind),
@@ -47,17 +49,17 @@
     auto platform = listed.find(id);
     bool has = platform != listed.end();
     bool only_streamed = boxes && membership == operate::Membership::Streamed;
-    if (gone.contains(id) || (streamed && streamed->entry.listed == Listed::Gone)) return {};
+    if (gone.contains(id) || (streamed && streamed->entry.state == EndpointState::Gone)) return {};
     if (!streamed) return has && !only_streamed ? std::optional(platform->second) : std::nullopt;
     auto own = *streamed;
-    if (auto since = started.find(id); own.entry.started == 0 && since != started.end())
-        own.entry.started = since->second;
+    if (auto since = started.find(id); own.entry.started_at == 0 && since != started.end())
+        own.entry.started_at = since->second;
     if (!has) return own;
     auto made = only_streamed ? own : platform->second;
-    made.entry.started = std::max(own.entry.started, platform->second.entry.started);
-    if (badness(own.entry.listed) > badness(made.entry.listed)) made.entry.listed = own.entry.listed;
-    if (badness(platform->second.entry.listed) > badness(made.entry.listed))
-        made.entry.listed = platform->second.entry.listed;
+    made.entry.started_at = std::max(own.entry.started_at, platform->second.entry.started_at);
+    if (badness(own.entry.state) > badness(made.entry.state)) made.entry.state = own.entry.state;
+    if (badness(platform->second.entry.state) > badness(made.entry.state))
+        made.entry.state = platform->second.entry.state;
     return made;
 }
 
@@ -71,7 +73,7 @@
         changes.caches.push_back(*now);
         told[id] = *now;
     } else if (known != told.end()) {
-        known->second.entry.listed = Listed::Gone;
+        known->second.entry.state = EndpointState::Gone;
         leaving.caches.push_back(known->second);
         told.erase(known);
     }
@@ -96,7 +98,7 @@
     for (auto& endpoint : news.caches) {
         auto id = endpoint.entry.id;
         touched.insert(id);
-        if (endpoint.entry.listed == Listed::Gone) {
+        if (endpoint.entry.state == EndpointState::Gone) {
             listed.erase(id);
             gone[id] = now;
         } else {
@@ -128,7 +130,7 @@
         bool known = was != old.end() && was->entry.id == id;
         bool moved = known && (was->address != box->address || was->port != box->port);
         bool listed_so = listed.contains(id);
-        if (box->entry.started == 0 && (moved || (before && !known && !listed_so))) started[id] = now;
+        if (box->entry.started_at == 0 && (moved || (before && !known && !listed_so))) started[id] = now;
         if (!known || moved || !alike(*was, *box) || all) compare(id, &*box, changes, leaving);
         if (known) ++was;
     }
@@ -176,9 +178,9 @@
     bool streamed_only = membership == operate::Membership::Streamed;
     std::map<int, int> before, after;  // ready servers: by zone, of parents (-1), of the origin (-2)
     auto count = [&](std::map<int, int>& into, const feed::Endpoint& box) {
-        bool ready = box.entry.listed == Listed::Ready && !gone.contains(box.entry.id);
+        bool ready = box.entry.state == EndpointState::Ready && !gone.contains(box.entry.id);
         auto platform = listed.find(box.entry.id);
-        if (platform != listed.end() && platform->second.entry.listed != Listed::Ready) ready = false;
+        if (platform != listed.end() && platform->second.entry.state != EndpointState::Ready) ready = false;
         if (ready) into[role(box)]++;
     };
     auto named = [](const Boxes& list, CacheId id) {
--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -33,7 +33,7 @@
 
 class Book {
 public:
-    Book(const SiteFacts& facts, const std::vector<std::string>& zones, operate::Membership membership);
+    Book(const SiteSettings& facts, const std::vector<std::string>& zones, operate::Membership membership);
 
     // What changes for the router: new and changed boxes first, then those that have gone (make before
     // break).
--- a/src/node/link.cpp
+++ b/src/node/link.cpp
@@ -33,7 +33,7 @@
     state = State::Opening;
     opening_ends = shared.clock.now() + shared.terms.connect_time;
     timer.set(std::min(attempt.limit, opening_ends) - shared.clock.now());
-    if (!stream.open(address) && state == State::Opening) finish(Outcome::Moot);  // no descriptor is left
+    if (!stream.open(address) && state == State::Opening) finish(Outcome::NotSent);  // no descriptor is left
 }
 
 void Link::opened() {
@@ -62,7 +62,7 @@
 }
 
 // The connection is as good as before, and stays.
-void Link::refuse() { finish(Outcome::Moot, {}, true); }
+void Link::refuse() { finish(Outcome::NotSent, {}, true); }
 
 bool Link::rested() const { return shared.clock.now() - idle_since >= crossing; }
 
@@ -74,7 +74,7 @@
     }
     // Guards against an answer that nobody has asked for yet: it would be taken for that of the first lookup.
     if (state == State::Opening || state == State::Connected) {
-        finish(Outcome::Moot);
+        finish(Outcome::NotSent);
         return;
     }
     try {
@@ -90,7 +90,7 @@
 
 void Link::closed() {
     if (state == State::Opening || state == State::Connected)
-        finish(Outcome::Unconnected);
+        finish(Outcome::ConnectFailed);
     else if (state == State::Busy)
         finish(Outcome::Reset);
     else
@@ -102,9 +102,9 @@
         state = State::Dead;
     } else if (state == State::Opening) {
         // Told by which of the two times came first: timers may be some milliseconds early.
-        finish(opening_ends <= attempt.limit ? Outcome::Unconnected : Outcome::Moot);
+        finish(opening_ends <= attempt.limit ? Outcome::ConnectFailed : Outcome::NotSent);
     } else if (state == State::Connected) {
-        finish(Outcome::Moot);
+        finish(Outcome::NotSent);
     } else if (state == State::Busy) {
         finish(Outcome::Timeout);
     }
@@ -112,14 +112,14 @@
 
 void Link::give_up() {
     if (state == State::Opening || state == State::Connected)
-        finish(Outcome::Moot);
+        finish(Outcome::NotSent);
     else if (state == State::Busy)
         finish(Outcome::Cancelled);
 }
 
 void Link::drop() {
     if (state == State::Opening || state == State::Connected)
-        finish(Outcome::Moot);
+        finish(Outcome::NotSent);
     else if (state == State::Busy)
         finish(Outcome::Reset);
     else
--- a/src/node/pool.cpp
+++ b/src/node/pool.cpp
@@ -25,15 +25,15 @@
     for (auto& endpoint : listing.caches) {
         auto& place = places[endpoint.entry.id];
         feed::Address address{endpoint.address, endpoint.port};
-        place.gone = endpoint.entry.listed == Listed::Gone;
+        place.gone = endpoint.entry.state == EndpointState::Gone;
         // Connections to a process that has gone, or to another address, are of no more use.
-        if (endpoint.entry.started > place.started || address != place.address) {
+        if (endpoint.entry.started_at > place.started || address != place.address) {
             forget(place);
             place.process = ++last_process;
         }
         place.address = address;
         place.entry = endpoint.entry;
-        place.started = endpoint.entry.started;
+        place.started = endpoint.entry.started_at;
     }
     // Guards against memory that grows as caches come and go under ever new ids.
     for (auto place = places.begin(); place != places.end();) {
@@ -65,7 +65,7 @@
         link = all.back().get();
     }
     if (!link) {  // nothing was sent, and it is not the cache's doing
-        land(cache, attempt, Outcome::Moot);
+        land(cache, attempt, Outcome::NotSent);
         return;
     }
     if (attempt.round >= 0) out[{attempt.lookup, attempt.round}] = link;
--- a/src/node/pool.hpp
+++ b/src/node/pool.hpp
@@ -39,7 +39,7 @@
 private:
     struct Place {
         feed::Address address;
-        ListEntry entry{};
+        EndpointEntry entry{};
         Micros started = 0;
         bool gone = false;
         std::uint64_t process = 0;  // new whenever another process or address stands behind the id
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -13,7 +13,7 @@
 shared::Terms terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
     shared::Terms terms;
     terms.parts = {plan.facts, plan.quotas, plan.judgements, plan.counts};
-    terms.site = static_cast<const Bounds&>(launch.facts);
+    terms.site = static_cast<const RoutingSettings&>(launch.facts);
     terms.owners = plan.owners;
     terms.lease = plan.lease;
     terms.now = {clock.now(), Clock::steady()};
@@ -34,7 +34,7 @@
                              std::pair(plan.judgements, "judgements"), std::pair(plan.counts, "counts")})
         if (on) parts += std::string(parts.empty() ? "" : ", ") + name;
     log::info("shared: {}", parts.empty() ? "nothing" : parts);
-    if (plan.quotas && !launch.facts.ratings_are_links)
+    if (plan.quotas && !launch.facts.weights_are_link_rates)
         log::warning("shared: the settings state no links, so each router goes by its own cold budgets");
 }
 
@@ -61,8 +61,8 @@
 void Sharing::say(const shared::Facts::Changes& changes, Micros now) {
     for (auto& endpoint : changes.listing.caches)
         log::info("shared: cache {} {}", endpoint.entry.id,
-                  endpoint.entry.listed == Listed::Ready ? "is open again, as the own list has it"
-                                                         : "is closed, as others have heard");
+                  endpoint.entry.state == EndpointState::Ready ? "is open again, as the own list has it"
+                                                               : "is closed, as others have heard");
     for (auto id : changes.reopened) log::info("shared: cache {} is open again, it was started anew", id);
     if (!changes.purges.empty()) log::info("shared: {} purges heard from others", changes.purges.size());
     if (now < say_at) return;
--- a/src/node/steering.cpp
+++ b/src/node/steering.cpp
@@ -161,7 +161,7 @@
 // where it can't be kept, the store is emptied, and where even that can't be done the version is refused.
 std::optional<std::string> Steering::keep(const version::Proposal& proposal, Micros now) {
     if (!vault || (store_again > 0 && now < store_again)) return {};
-    auto starts = book.starts_since(now, std::max(launch.facts.cold, launch.facts.parent_cold));
+    auto starts = book.starts_since(now, std::max(launch.facts.cold_period, launch.facts.parent_cold_period));
     auto failed = vault->write(proposal.next, proposal.settled, starts, now);
     if (!failed) {
         if (std::exchange(store_again, 0) > 0) log::info("store: versions are kept again");
--- a/src/node/turn.cpp
+++ b/src/node/turn.cpp
@@ -20,7 +20,7 @@
 
 void Turn::share(shared::Exchange* with) {
     exchange = with;
-    router.parent_cold = exchange ? exchange->parent_cold() : facts.parent_cold;
+    router.parent_cold_period = exchange ? exchange->parent_cold() : facts.parent_cold_period;
 }
 
 void Turn::take(Gathered batch, Micros reading) {
@@ -39,21 +39,21 @@
 
 void Turn::tell(Arrived& arrived) {
     auto& facts = arrived.lookup.facts;
-    if (open.contains(facts.id) || router.find(facts.id)) {  // ids are new with every lookup
+    if (open.contains(facts.id) || router.find_lookup(facts.id)) {  // ids are new with every lookup
         log::warning("lookup broken off: its id is in use");
         front.answer(arrived.caller, thrift::broken_off(arrived.caller.seq));
         return;
     }
-    facts.due = arrived.at + arrived.lookup.wait;
+    facts.deadline = arrived.at + arrived.lookup.wait;
     if (routes) narrow(arrived, facts);
-    if (leave_by) facts.due = std::min(facts.due, *leave_by);
-    facts.write = router.traffic[facts.traffic].write;
+    if (leave_by) facts.deadline = std::min(facts.deadline, *leave_by);
+    facts.write = router.traffic_types[facts.traffic].write;
     if (exchange && facts.part == 0 && !facts.write)
-        facts.elsewhere = exchange->asked(facts.object, {now, steady});
+        facts.lookups_elsewhere = exchange->asked(facts.object, {now, steady});
     auto id = facts.id;
     open.try_emplace(id, arrived.caller, facts, arrived.lookup, now, base,
                      [this, id] { gathered.emplace_back(LookDue{id}); });
-    made({id, router.take(facts, now).place(now), {}});
+    made({id, router.add_lookup(facts, now).first_attempt(now), {}});
 }
 
 void Turn::tell(Left& left) {
@@ -61,13 +61,13 @@
     if (found == open.end() || found->second.caller != left.caller) return;
     found->second.answered = true;
     // One that has left early says nothing; one that has waited long was not served.
-    if (auto& lookup = found->second; now - lookup.taken > lookup.facts.due - now) count(true);
-    auto handle = router.find(left.lookup);
-    made({left.lookup, handle ? handle->left() : Answer{}, {}, true});
+    if (auto& lookup = found->second; now - lookup.taken > lookup.facts.deadline - now) count(true);
+    auto handle = router.find_lookup(left.lookup);
+    made({left.lookup, handle ? handle->client_left() : RoutingDecision{}, {}, true});
 }
 
 void Turn::tell(Landed& landed) {
-    auto handle = router.find(landed.lookup);
+    auto handle = router.find_lookup(landed.lookup);
     if (!handle) return;
     auto found = open.find(landed.lookup);
     auto& reply = landed.reply;
@@ -79,28 +79,28 @@
     bool owed = found != open.end() && !found->second.answered;
     bool handles = owed && landed.outcome == Outcome::Ok;
     if (handles) found->second.answered = true;
-    AttemptEnd end{landed.outcome, now - landed.sent, reply.waited, landed.round,
-                   reply.note,     !owed || handles,  landed.cache, reply.load};
-    auto answer = handle->ended(end, now);
+    AttemptResult end{landed.outcome, now - landed.sent, reply.waited, landed.round,
+                      reply.note,     !owed || handles,  landed.cache, reply.load};
+    auto answer = handle->attempt_ended(end, now);
     made({landed.lookup, std::move(answer), handles ? std::optional(std::move(reply)) : std::nullopt});
 }
 
 void Turn::tell(Probed& probed) {
-    router.probed(probed.cache, probed.outcome, now - probed.sent, probed.load, now);
+    router.probe_ended(probed.cache, probed.outcome, now - probed.sent, probed.load, now);
 }
 
 void Turn::tell(feed::Event& event) {
     if (auto* listing = std::get_if<feed::Listing>(&event.what)) {
-        std::vector<ListEntry> entries;
+        std::vector<EndpointEntry> entries;
         for (auto& endpoint : listing->caches) entries.push_back(endpoint.entry);
         pool.list(*listing);
         if (routes) routes->list(*listing);
         // A right is there from the first moment on.
         if (exchange) settle_quotas();
-        router.list(entries, listing->complete, now);
+        router.update_endpoints(entries, listing->complete, now);
         if (exchange) look_up_quotas();
     } else if (auto* purge = std::get_if<feed::PurgeNotice>(&event.what)) {
-        router.purged(purge->object, purge->group, std::max<Micros>(0, now - purge->at), now);
+        router.record_purge(purge->object, purge->group, std::max<Micros>(0, now - purge->at), now);
     }
 }
 
@@ -108,17 +108,17 @@
     auto found = open.find(due.lookup);
     if (found == open.end() || found->second.answered) return;
     found->second.look_at = 0;
-    if (auto handle = router.find(due.lookup)) made({due.lookup, handle->look(now), {}});
+    if (auto handle = router.find_lookup(due.lookup)) made({due.lookup, handle->check(now), {}});
 }
 
 void Turn::tell(TendDue& /*due*/) { tend(now); }
 
 // A version may narrow what the settings allow, and was checked for that.
 void Turn::tell(version::Amounts& amounts) {
-    router.transmissions_cap = amounts.transmissions.value_or(facts.transmissions_cap);
-    router.second_copies = amounts.second_copies.value_or(facts.second_copies);
-    router.most_retry_after =
-        facts.retry_after ? amounts.come_back.value_or(facts.most_retry_after) : Micros{0};
+    router.max_attempts = amounts.transmissions.value_or(facts.max_attempts);
+    router.hedging = amounts.second_copies.value_or(facts.hedging);
+    router.max_retry_after =
+        facts.retry_after ? amounts.come_back.value_or(facts.max_retry_after) : Micros{0};
 }
 
 void Turn::tell(std::shared_ptr<const route::RuleSet>& rules) {
@@ -134,16 +134,16 @@
     front.want(wanted.empty() ? nullptr : &wanted);
 }
 
-void Turn::narrow(const Arrived& arrived, LookupFacts& facts) {
+void Turn::narrow(const Arrived& arrived, LookupInfo& facts) {
     route::Told told;
     told.traffic = facts.traffic;
     told.object = facts.object;
     told.part = facts.part;
     told.group = facts.group;
     told.bytes = static_cast<std::int64_t>(std::min(facts.kbytes, 1e12) * 1000);
-    told.remaining = facts.due - now;
+    told.remaining = facts.deadline - now;
     told.now = now;
-    told.retry = facts.repeat;
+    told.retry = facts.retry;
     told.client = arrived.address;
     for (auto& [name, value] : arrived.lookup.named) told.named.emplace_back(name, value);
     routes->narrow(told, facts, arrived.at);
@@ -158,11 +158,11 @@
 void Turn::look_up_quotas() {
     steady = Clock::steady();
     for (auto id : lent)
-        if (auto* server = find_server(router, id)) server->right = -1;
+        if (auto* server = find_server(router, id)) server->quota = -1;
     lent = exchange->young();
     for (auto id : lent)
-        if (auto* server = find_server(router, id)) server->right = exchange->right(id, {now, steady});
-    router.heard = exchange->heard_routers();
+        if (auto* server = find_server(router, id)) server->quota = exchange->right(id, {now, steady});
+    router.counting_routers = exchange->heard_routers();
 }
 
 // What the module has used of it in this turn, and what it would have used.
@@ -170,23 +170,23 @@
     shared::Times times{now, steady};
     for (auto id : lent) {
         auto* server = find_server(router, id);
-        if (!server || server->right < 0) continue;
-        double used = exchange->right(id, times) - server->right;
+        if (!server || server->quota < 0) continue;
+        double used = exchange->right(id, times) - server->quota;
         if (used > 0) {
             auto good = exchange->use(id, used, now, times);
             auto [known, first] = until.emplace(id, good);
             if (!first) known->second = std::min(known->second, good);
         }
-        exchange->missed(id, std::exchange(server->wanted, 0) - std::max(0.0, used), server->wanted_once,
-                         times);
-        for (auto& one : server->returned) exchange->give_back(id, one.value, one.at, times);
-        server->returned.clear();
+        exchange->missed(id, std::exchange(server->quota_demand, 0) - std::max(0.0, used),
+                         server->quota_demand_per_lookup, times);
+        for (auto& one : server->returned_quota) exchange->give_back(id, one.value, one.at, times);
+        server->returned_quota.clear();
     }
 }
 
-Micros Turn::good_until(const Transmission& order) const {
+Micros Turn::good_until(const AttemptPlan& order) const {
     Micros good = 0;
-    for (auto id : {order.cache, order.source})
+    for (auto id : {order.cache, order.upstream})
         if (auto found = until.find(id); found != until.end())
             good = good == 0 ? found->second : std::min(good, found->second);
     return good;
@@ -195,60 +195,62 @@
 // What others say of servers goes to the module, and what it holds against them goes to others.
 void Turn::weigh_opinions() {
     for (auto id : spoken_of)
-        if (auto* server = find_server(router, id)) server->hearsay = {};
+        if (auto* server = find_server(router, id)) server->peer_report = {};
     spoken_of = exchange->named();
     for (auto id : spoken_of)
         if (auto* server = find_server(router, id))
-            server->hearsay = exchange->hearsay(id, server->started, {now, steady});
-    if (tends++ % 3 == 0) exchange->witnessed(router.witnessed(now), router.measured(now), {now, steady});
+            server->peer_report = exchange->hearsay(id, server->started_at, {now, steady});
+    if (tends++ % 3 == 0)
+        exchange->witnessed(router.health_reports(now), router.measured_servers(now), {now, steady});
 }
 
 void Turn::tend(Micros reading) {
     now = reading;
     if (exchange) weigh_opinions();
-    auto answer = router.tend(now);
+    auto answer = router.run_maintenance(now);
     probes.insert(probes.end(), answer.probe.begin(), answer.probe.end());
     for (auto& line : answer.log) log::info("{}", line);
-    if (answer.look_in > 0) upkeep.set(answer.look_in);
+    if (answer.next_check > 0) upkeep.set(answer.next_check);
 }
 
 void Turn::made(Made one) {
-    if (auto found = open.find(one.lookup); found != open.end() && one.answer.final != Final::None)
+    if (auto found = open.find(one.lookup);
+        found != open.end() && one.answer.final_result != FinalResult::None)
         found->second.answered = true;
     answers.push_back(std::move(one));
 }
 
 void Turn::carry_out(Made& made) {
     auto& answer = made.answer;
-    for (int round : answer.withdraw) pool.give_up(made.lookup, round);
+    for (int round : answer.cancel) pool.give_up(made.lookup, round);
     auto found = open.find(made.lookup);
     if (found == open.end()) return;
     auto& lookup = found->second;
     auto seq = lookup.caller.seq;
     if (answer.send) send(lookup, *answer.send);
-    if (answer.look_in > 0 && (lookup.look_at == 0 || now + answer.look_in < lookup.look_at)) {
-        lookup.look_at = now + answer.look_in;
-        lookup.look.set(answer.look_in);
+    if (answer.next_check > 0 && (lookup.look_at == 0 || now + answer.next_check < lookup.look_at)) {
+        lookup.look_at = now + answer.next_check;
+        lookup.look.set(answer.next_check);
     }
-    if (made.handled || answer.final != Final::None) count(!made.handled);
+    if (made.handled || answer.final_result != FinalResult::None) count(!made.handled);
     if (made.handled)
         front.answer(lookup.caller, thrift::handled(seq, made.handled->body, made.handled->status == 304));
-    else if (answer.final == Final::Rejected)
-        front.answer(lookup.caller, thrift::rejected(seq, answer.come_back));
-    else if (answer.final == Final::BrokenOff)
+    else if (answer.final_result == FinalResult::Rejected)
+        front.answer(lookup.caller, thrift::rejected(seq, answer.retry_after));
+    else if (answer.final_result == FinalResult::Failed)
         front.answer(lookup.caller, thrift::broken_off(seq));
     else if (!made.left)  // the final answer, if there is one by now, comes later in this turn
         return;
     open.erase(found);
 }
 
-void Turn::send(Open& lookup, const Transmission& order) {
-    Micros limit = lookup.facts.due;
-    if (order.limit > 0) limit = std::min(limit, now + order.limit);
+void Turn::send(Open& lookup, const AttemptPlan& order) {
+    Micros limit = lookup.facts.deadline;
+    if (order.time_limit > 0) limit = std::min(limit, now + order.time_limit);
     auto round = static_cast<int>(lookup.orders.size());
     lookup.orders.push_back(order);
     if (lookup.answered) {  // its final answer comes later in this turn: nothing is sent any more
-        gathered.emplace_back(Landed{lookup.facts.id, round, order.cache, Outcome::Moot, now, {}});
+        gathered.emplace_back(Landed{lookup.facts.id, round, order.cache, Outcome::NotSent, now, {}});
         return;
     }
     pool.send(order.cache, {lookup.facts.id, round, now, limit, good_until(order)});
@@ -258,25 +260,25 @@
 Pool::Word Turn::still_wanted(CacheId cache, const Attempt& attempt) {
     if (attempt.round < 0) {
         auto* server = find_server(router, cache);
-        if (!server || server->listed != Listed::Ready) return {};
+        if (!server || server->state != EndpointState::Ready) return {};
         return http::probe();
     }
     auto found = open.find(attempt.lookup);
-    auto handle = router.find(attempt.lookup);
+    auto handle = router.find_lookup(attempt.lookup);
     if (found == open.end() || found->second.answered || !handle) return {};
     auto& lookup = found->second;
     auto client = front.presence(lookup.caller);
     if (client == Client::Presence::Gone) return {};
     if (client == Client::Presence::Speaking && now < attempt.limit) return Pool::Later{};
-    if (!handle->confirm(attempt.round, lookup.orders[attempt.round], now)) return {};
+    if (!handle->confirm_send(attempt.round, lookup.orders[attempt.round], now)) return {};
     return http::transmission(lookup.facts, lookup.orders[attempt.round], terms.traffic[lookup.facts.traffic],
                               {lookup.have, lookup.ticket, lookup.body});
 }
 
 void Turn::break_off_all() {
     for (auto& [id, lookup] : open) {
-        if (auto handle = router.find(id))
-            for (int round : handle->left().withdraw) pool.give_up(id, round);
+        if (auto handle = router.find_lookup(id))
+            for (int round : handle->client_left().cancel) pool.give_up(id, round);
         front.answer(lookup.caller, thrift::broken_off(lookup.caller.seq));
     }
     open.clear();
--- a/src/node/turn.hpp
+++ b/src/node/turn.hpp
@@ -30,7 +30,7 @@
 private:
     // A lookup whose final answer is owed.
     struct Open {
-        Open(const Caller& caller, const LookupFacts& facts, thrift::Lookup& told, Micros taken,
+        Open(const Caller& caller, const LookupInfo& facts, thrift::Lookup& told, Micros taken,
              event_base* base, std::function<void()> due)
             : caller(caller),
               facts(facts),
@@ -40,18 +40,18 @@
               taken(taken),
               look(base, std::move(due)) {}
         Caller caller;
-        LookupFacts facts;
+        LookupInfo facts;
         std::string have, ticket, body;
         Micros taken;
         bool answered = false;
-        std::vector<Transmission> orders;  // of the transmissions so far
-        Micros look_at = 0;                // 0: no look is due
+        std::vector<AttemptPlan> orders;  // of the transmissions so far
+        Micros look_at = 0;               // 0: no look is due
         Timer look;
     };
     // What the module answered about one lookup, and the reply that it is about, if that handles it.
     struct Made {
         LookupId lookup;
-        Answer answer;
+        RoutingDecision answer;
         std::optional<http::Reply> handled;
         bool left = false;  // the client has, and no answer is owed
     };
@@ -65,20 +65,20 @@
     void tell(TendDue& due);
     void tell(version::Amounts& amounts);
     void tell(std::shared_ptr<const route::RuleSet>& rules);
-    void narrow(const Arrived& arrived, LookupFacts& facts);
+    void narrow(const Arrived& arrived, LookupInfo& facts);
     void count(bool bad);
     void look_up_quotas();
     void settle_quotas();
     void weigh_opinions();
-    Micros good_until(const Transmission& order) const;
+    Micros good_until(const AttemptPlan& order) const;
     void made(Made one);
     void carry_out(Made& made);
-    void send(Open& lookup, const Transmission& order);
+    void send(Open& lookup, const AttemptPlan& order);
     Pool::Word still_wanted(CacheId cache, const Attempt& attempt);
 
     event_base* base;
     const site::Terms& terms;
-    const SiteFacts& facts;
+    const SiteSettings& facts;
     const launch::Launch& launch;
     Gathered& gathered;
     Front& front;
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -56,7 +56,7 @@
 
 shared::Terms shared_terms_of(peers::Number self, const HollowTerms& terms, Micros now) {
     shared::Terms made;
-    made.site = static_cast<const Bounds&>(terms.launch->facts);
+    made.site = static_cast<const RoutingSettings&>(terms.launch->facts);
     made.parts.facts = terms.shared_facts;
     made.now = {now, node::Clock::steady()};
     made.seed = static_cast<std::uint32_t>(terms.seed + static_cast<std::uint64_t>(self) * 2654435761U) ^
--- a/src/rig/partner.hpp
+++ b/src/rig/partner.hpp
@@ -13,19 +13,19 @@
 namespace quillgrade::rig {
 
 // The settings of a small tier, as a router reads them.
-inline Bounds shared_site() {
-    Bounds site;
+inline RoutingSettings shared_site() {
+    RoutingSettings site;
     site.parent_kind = 1;
     site.origin_kind = 2;
     site.zone = 0;
-    site.ratings_are_links = true;
-    site.cold_from = 0.2;
-    site.cold_multiple = 3;
-    site.parent_cold_from = 0.1;
-    site.parent_multiple = 2;
-    site.cold = site.parent_cold = 10'000'000;
-    site.cold_window = 1'000'000;
-    site.purge_done = 6'000'000;
+    site.weights_are_link_rates = true;
+    site.cold_initial_share = 0.2;
+    site.cold_budget_multiple = 3;
+    site.parent_cold_initial_share = 0.1;
+    site.parent_cold_budget_multiple = 2;
+    site.cold_period = site.parent_cold_period = 10'000'000;
+    site.cold_budget_window = 1'000'000;
+    site.purge_retention = 6'000'000;
     return site;
 }
 
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -33,7 +33,7 @@
 shared::Terms exchange_terms(std::uint32_t seed, const shared::Times& now) {
     shared::Terms terms;
     terms.parts = {.facts = true, .quotas = false, .judgements = false, .counts = false};
-    terms.site.purge_done = 6 * second;
+    terms.site.purge_retention = 6 * second;
     terms.seed = seed;
     terms.now = now;
     return terms;
--- a/src/route/live.cpp
+++ b/src/route/live.cpp
@@ -14,7 +14,7 @@
 void Live::list(const feed::Listing& listing) {
     if (listing.complete) boxes.clear();
     for (auto& box : listing.caches) {
-        if (box.entry.listed == Listed::Gone)
+        if (box.entry.state == EndpointState::Gone)
             boxes.erase(box.entry.id);
         else
             boxes[box.entry.id] = box;
@@ -38,7 +38,7 @@
     return current ? current->set->named() : std::vector<expression::FieldFacts>{};
 }
 
-void Live::narrow(const Told& told, LookupFacts& facts, Micros taken) {
+void Live::narrow(const Told& told, LookupInfo& facts, Micros taken) {
     if (!current) return;
     auto decision = current->set->decide(told, current->runner);
     counted.decided++;
@@ -51,11 +51,11 @@
         facts.wire_object = facts.object;
         facts.object = *decision.key;
     }
-    if (decision.limit > 0) facts.due = std::min(facts.due, taken + decision.limit);
-    facts.most_transmissions = decision.transmissions;
-    facts.no_copies = decision.no_copies;
+    if (decision.limit > 0) facts.deadline = std::min(facts.deadline, taken + decision.limit);
+    facts.max_attempts = decision.transmissions;
+    facts.no_hedging = decision.no_copies;
     if (decision.pool >= 0)
-        facts.among = std::shared_ptr<const std::vector<CacheId>>(
+        facts.allowed_caches = std::shared_ptr<const std::vector<CacheId>>(
             current, &current->members[static_cast<std::size_t>(decision.pool)]);
 }
 
--- a/src/route/live.hpp
+++ b/src/route/live.hpp
@@ -24,7 +24,7 @@
 
     // The ordinary path: what the first rule that matches makes of a lookup. `taken`: when its time began.
     // Narrows `facts` and nothing else.
-    void narrow(const Told& told, LookupFacts& facts, Micros taken);
+    void narrow(const Told& told, LookupInfo& facts, Micros taken);
 
     std::size_t sets() const;  // in force, or held by lookups
     struct Tally {
--- a/src/route/rules.cpp
+++ b/src/route/rules.cpp
@@ -39,10 +39,10 @@
 }
 
 // As strict as the wire's, or stricter: nothing may be repeated that was not allowed to be.
-bool as_strict(const TrafficFacts& told, const TrafficFacts& wire) {
-    if (told.write != wire.write || told.effect < wire.effect) return false;
-    if (wire.effect != Effect::Ticketed || told.effect == Effect::Exclusive) return true;
-    return told.group >= wire.group && told.window <= wire.window;
+bool as_strict(const TrafficTypeSettings& told, const TrafficTypeSettings& wire) {
+    if (told.write != wire.write || told.idempotency < wire.idempotency) return false;
+    if (wire.idempotency != Idempotency::Keyed || told.idempotency == Idempotency::NonIdempotent) return true;
+    return told.dedup_scope >= wire.dedup_scope && told.dedup_window <= wire.dedup_window;
 }
 
 }  // namespace
@@ -204,11 +204,11 @@
         facts.values[box_cell_at] = Value::of(std::int64_t{box.entry.cell});
         facts.values[box_kind_at] =
             Value::of(std::string_view(site.kinds[static_cast<std::size_t>(box.entry.kind)]));
-        facts.values[box_weight_at] = Value::of(std::llround(box.entry.rating * 1000));
+        facts.values[box_weight_at] = Value::of(std::llround(box.entry.weight * 1000));
         for (std::size_t pool = 0; pool < pools_.size(); pool++)
             if (machine.condition(pools_[pool].members, facts)) {
                 own[pool].push_back(box.entry.id);
-                if (box.entry.listed == Listed::Ready) ready[pool].push_back(box.entry.id);
+                if (box.entry.state == EndpointState::Ready) ready[pool].push_back(box.entry.id);
             }
     }
     std::vector<std::vector<CacheId>> all(pools_.size());
--- a/src/route/rules.hpp
+++ b/src/route/rules.hpp
@@ -26,7 +26,7 @@
 // What the settings say that rules have to know.
 struct Site {
     std::vector<std::string> traffic, zones, kinds;
-    std::vector<TrafficFacts> types;
+    std::vector<TrafficTypeSettings> types;
     int transmissions = 1;
 };
 
@@ -113,7 +113,7 @@
     int pool_for(const Rule& rule, std::uint64_t key) const;
 
     std::vector<expression::FieldFacts> fields;  // of the lookup, the named ones from `first_named` on
-    std::vector<TrafficFacts> types;
+    std::vector<TrafficTypeSettings> types;
     std::vector<std::string> traffic;
     expression::Program program;  // conditions, keys and what is looked up
     expression::Program box_program;
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -25,7 +25,7 @@
     made.self = self;
     made.routers = membership.routers();
     made.owners = terms.owners;
-    made.window = terms.site.cold_window;
+    made.window = terms.site.cold_budget_window;
     made.lease = terms.lease;
     made.seed = terms.seed;
     made.now = terms.now.steady;
@@ -39,13 +39,13 @@
                               static_cast<double>(membership.routers()),
                               static_cast<double>(terms.owners),
                               static_cast<double>(terms.lease),
-                              site.cold_from,
-                              site.cold_multiple,
-                              site.parent_cold_from,
-                              site.parent_multiple,
-                              static_cast<double>(site.cold),
-                              static_cast<double>(site.cold_window),
-                              static_cast<double>(site.parent_cold)};
+                              site.cold_initial_share,
+                              site.cold_budget_multiple,
+                              site.parent_cold_initial_share,
+                              site.parent_cold_budget_multiple,
+                              static_cast<double>(site.cold_period),
+                              static_cast<double>(site.cold_budget_window),
+                              static_cast<double>(site.parent_cold_period)};
     return std::max(1U, XXH32(words.data(), sizeof words, 0));
 }
 
@@ -55,7 +55,7 @@
     : membership(membership),
       terms(terms),
       hash(hash_of(membership, terms)),
-      facts(terms.site.purge_done, membership.routers()),
+      facts(terms.site.purge_retention, membership.routers()),
       quotas(quota_terms(membership, terms, membership.number_of_self())),
       request_counts(membership.number_of_self(), membership.routers()),
       unlike(static_cast<std::size_t>(membership.routers())),
@@ -109,15 +109,15 @@
 
 feed::Listing Exchange::listed(feed::Listing told, const Times& now) {
     last = now;
-    if (terms.parts.quotas && terms.site.ratings_are_links) {
+    if (terms.parts.quotas && terms.site.weights_are_link_rates) {
         // Parents only: all routers share them, so one's part is small. A location's caches have few routers,
         // whose parts are a lookup or more, and what they see answered raises them: pooled they were used
         // less (docs/results.md).
         if (told.complete) cold.clear();
         for (auto& endpoint : told.caches) {
             auto& entry = endpoint.entry;
-            bool warm = entry.started <= 0 || now.unix >= entry.started + parent_cold();
-            if (!is_parent(entry) || entry.listed == Listed::Gone || warm)
+            bool warm = entry.started_at <= 0 || now.unix >= entry.started_at + parent_cold();
+            if (!is_parent(entry) || entry.state == EndpointState::Gone || warm)
                 cold.erase(entry.id);
             else
                 cold[entry.id] = entry;
@@ -136,13 +136,13 @@
         std::vector<ColdServer> told;
         std::erase_if(cold, [&](auto& known) {
             auto& entry = known.second;
-            auto age = now.unix - entry.started;
+            auto age = now.unix - entry.started_at;
             if (age >= parent_cold()) return true;
             // As it stands at the end of a window: what is used now is weighed against all of the window
             // before.
-            auto grown = age + terms.site.cold_window - clocks_apart;
-            told.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
-                            whole_cold_budget(terms.site, true, entry.rating, grown)});
+            auto grown = age + terms.site.cold_budget_window - clocks_apart;
+            told.push_back({entry.id, static_cast<std::uint64_t>(entry.started_at / ms),
+                            total_cold_budget(terms.site, true, entry.weight, grown)});
             return false;
         });
         quotas.list(told, now.steady);
@@ -210,8 +210,8 @@
 // Guards against a router whose clock is ahead: by it the cold time would end early, and what it sends until
 // the true end would be bounded by nothing.
 Micros Exchange::parent_cold() const {
-    bool shared = terms.parts.quotas && terms.site.ratings_are_links;
-    return terms.site.parent_cold + (shared ? clocks_apart : 0);
+    bool shared = terms.parts.quotas && terms.site.weights_are_link_rates;
+    return terms.site.parent_cold_period + (shared ? clocks_apart : 0);
 }
 
 std::vector<CacheId> Exchange::young() const {
@@ -238,7 +238,7 @@
 
 // ---- judgements
 
-void Exchange::witnessed(const std::vector<Testimony>& told, int measured, const Times& now) {
+void Exchange::witnessed(const std::vector<HealthReport>& told, int measured, const Times& now) {
     if (!terms.parts.judgements) return;
     bool news = false;
     for (auto& one : told)
@@ -246,14 +246,14 @@
                              [&](auto& known) { return known.server == one.server; });
     complaints.clear();
     for (auto& one : told)
-        complaints.push_back(
-            {one.server, static_cast<std::uint32_t>(one.started / ms), one.samples, one.bad, one.slow, 0});
+        complaints.push_back({one.server, static_cast<std::uint32_t>(one.started_at / ms), one.samples,
+                              one.failure_share, one.slowdown, 0});
     breadth = {measured, static_cast<int>(told.size())};
     complaints_at = now.unix;
     if (news) membership.tell(3, membership.own_zone(), true, now.unix);
 }
 
-Hearsay Exchange::hearsay(CacheId server, Micros started, const Times& now) const {
+PeerHealthReport Exchange::hearsay(CacheId server, Micros started, const Times& now) const {
     return health_reports.weigh(server, static_cast<std::uint64_t>(started / ms), now.unix);
 }
 
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -39,7 +39,7 @@
 
 struct Terms {
     Parts parts{};
-    Bounds site{};  // of the settings
+    RoutingSettings site{};  // of the settings
     int owners = 4;
     Micros lease = 3'000'000;
     std::uint32_t seed = 1;
@@ -72,8 +72,8 @@
     void missed(CacheId server, double work, double usual, const Times& now);
 
     // What this router holds against servers, as it stands now.
-    void witnessed(const std::vector<Testimony>& told, int measured, const Times& now);
-    Hearsay hearsay(CacheId server, Micros started, const Times& now) const;
+    void witnessed(const std::vector<HealthReport>& told, int measured, const Times& now);
+    PeerHealthReport hearsay(CacheId server, Micros started, const Times& now) const;
     std::vector<CacheId> named() const { return health_reports.named(); }
 
     // A first part is asked for: how many other routers of the location were asked for it too.
@@ -102,7 +102,7 @@
     };
     void take(Number from, Life life, const Payload& load, const Times& now);
     void tell_facts(const Times& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.site.parent_kind; }
+    bool is_parent(const EndpointEntry& entry) const { return entry.kind == terms.site.parent_kind; }
 
     peers::Membership& membership;
     Terms terms;
@@ -111,7 +111,7 @@
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
-    std::map<CacheId, ListEntry> cold;
+    std::map<CacheId, EndpointEntry> cold;
     std::map<CacheId, int> zones;  // of the servers complained of
     std::vector<Complaint> complaints;
     Breadth breadth;
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -34,18 +34,19 @@
     for (auto& endpoint : told.caches) {
         auto& entry = endpoint.entry;
         named.insert(entry.id);
-        own(entry.id, in_ms(entry.started), entry.listed, now);
-        if (entry.listed == Listed::Gone) {
+        own(entry.id, in_ms(entry.started_at), entry.state, now);
+        if (entry.state == EndpointState::Gone) {
             servers.erase(entry.id);
             continue;
         }
         auto known = servers.find(entry.id);
-        bool closed = known != servers.end() && known->second.told.entry.listed == Listed::Ready &&
-                      known->second.shown != Listed::Ready;
+        bool closed = known != servers.end() && known->second.told.entry.state == EndpointState::Ready &&
+                      known->second.shown != EndpointState::Ready;
         auto& kept = servers[entry.id];
         kept.told = endpoint;
-        entry.listed = kept.shown = narrowed(kept, heard_live, now);
-        if (closed && entry.listed == Listed::Ready && reopened.size() < most) reopened.push_back(entry.id);
+        entry.state = kept.shown = narrowed(kept, heard_live, now);
+        if (closed && entry.state == EndpointState::Ready && reopened.size() < most)
+            reopened.push_back(entry.id);
     }
     if (!told.complete) return told;
     for (auto server = servers.begin(); server != servers.end();) {
@@ -53,15 +54,15 @@
             server++;
             continue;
         }
-        own(server->first, in_ms(server->second.told.entry.started), Listed::Gone, now);
+        own(server->first, in_ms(server->second.told.entry.started_at), EndpointState::Gone, now);
         server = servers.erase(server);
     }
     return told;
 }
 
-void Facts::own(CacheId id, std::uint64_t start, Listed listed, Micros now) {
+void Facts::own(CacheId id, std::uint64_t start, EndpointState listed, Micros now) {
     auto found = facts.find({About::Server, id});
-    if (listed == Listed::Ready) {
+    if (listed == EndpointState::Ready) {
         // Taken back by those who said it: it is no fact any more, here.
         if (found != facts.end() && found->second.own && found->second.fact.time <= start) {
             found->second.own = false;
@@ -71,7 +72,7 @@
         return;
     }
     // What is long over where the router starts is known to all.
-    enter({About::Server, id, start, listed == Listed::Gone, in_ms(now)}, true, now);
+    enter({About::Server, id, start, listed == EndpointState::Gone, in_ms(now)}, true, now);
 }
 
 void Facts::purged(const feed::PurgeNotice& notice, Micros now) {
@@ -170,30 +171,30 @@
 // Whether no other server of its role and location is open here.
 bool Facts::last_of_its_role(const Entry& entry) const {
     for (auto& [id, other] : servers)
-        if (id != entry.told.entry.id && other.shown == Listed::Ready &&
+        if (id != entry.told.entry.id && other.shown == EndpointState::Ready &&
             other.told.entry.kind == entry.told.entry.kind && other.told.entry.zone == entry.told.entry.zone)
             return false;
     return true;
 }
 
-Listed Facts::narrowed(const Entry& entry, Micros live, Micros now) {
+EndpointState Facts::narrowed(const Entry& entry, Micros live, Micros now) {
     auto& told = entry.told.entry;
-    if (told.listed != Listed::Ready) return told.listed;
+    if (told.state != EndpointState::Ready) return told.state;
     auto found = facts.find({About::Server, told.id});
-    if (found == facts.end()) return told.listed;
+    if (found == facts.end()) return told.state;
     auto& known = found->second;
     // What was said of an earlier process is nothing against this one.
-    if (known.fact.time < in_ms(told.started)) return told.listed;
-    if (known.own) return told.listed;  // and the list was right after it
+    if (known.fact.time < in_ms(told.started_at)) return told.state;
+    if (known.own) return told.state;  // and the list was right after it
     if (!known.lapsed) {
         Micros since = std::max(known.heard, live);
         bool deaf = live == 0;
         if (!deaf && now - since >= contradicted) known.lapsed = true;
     }
-    if (known.lapsed) return told.listed;
+    if (known.lapsed) return told.state;
     // A location's last path is shut by hearsay only where nothing better can be heard.
-    if (live > 0 && entry.shown == Listed::Ready && last_of_its_role(entry)) return told.listed;
-    return Listed::Draining;
+    if (live > 0 && entry.shown == EndpointState::Ready && last_of_its_role(entry)) return told.state;
+    return EndpointState::Draining;
 }
 
 Facts::Changes Facts::pass(Micros live, Micros now) {
@@ -203,10 +204,10 @@
     for (auto& [id, entry] : servers) {
         auto shown = narrowed(entry, live, now);
         if (shown == entry.shown) continue;
-        (shown == Listed::Ready ? changes.opened : changes.closed)++;
+        (shown == EndpointState::Ready ? changes.opened : changes.closed)++;
         entry.shown = shown;
         changes.listing.caches.push_back(entry.told);
-        changes.listing.caches.back().entry.listed = shown;
+        changes.listing.caches.back().entry.state = shown;
     }
     for (auto& key : std::exchange(untold_purges, {})) {
         auto found = facts.find(key);
--- a/src/shared/facts.hpp
+++ b/src/shared/facts.hpp
@@ -114,7 +114,7 @@
     using Place = std::map<Key, Known>::iterator;
     struct Entry {
         feed::Endpoint told;  // as the own list has it
-        Listed shown;         // as the router was told
+        EndpointState shown;  // as the router was told
     };
     Known* enter(const Fact& told, bool own, Micros now);
     void set_left(const Key& key, Known& known, int left);  // keeps `waiting` in step
@@ -124,8 +124,8 @@
     Place forget(Place place);
     void forget_what_is_over(Micros now);
     std::uint64_t end_of(const Fact& purge) const;  // Unix milliseconds past which it matters no more
-    void own(CacheId id, std::uint64_t start, Listed listed, Micros now);
-    Listed narrowed(const Entry& entry, Micros live, Micros now);
+    void own(CacheId id, std::uint64_t start, EndpointState listed, Micros now);
+    EndpointState narrowed(const Entry& entry, Micros live, Micros now);
     bool last_of_its_role(const Entry& entry) const;
     static bool current(const Known& known, Micros now);
 
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -28,7 +28,7 @@
                                             Held{complaint, now - complaint.age, zone, trust, doubted});
 }
 
-Hearsay HealthReports::weigh(CacheId server, std::uint64_t start, Micros now) const {
+PeerHealthReport HealthReports::weigh(CacheId server, std::uint64_t start, Micros now) const {
     auto of = held.find(server);
     if (of == held.end()) return {};
     std::vector<const Held*> believed, doubted;
@@ -43,7 +43,7 @@
     // The weightiest of a zone first.
     std::sort(believed.begin(), believed.end(), [](auto* a, auto* b) { return a->at > b->at; });
     std::map<int, double> next;
-    Hearsay sum;
+    PeerHealthReport sum;
     std::vector<std::pair<double, double>> slow;  // with its weight
     double slow_weight = 0;
     for (auto* one : believed) {
@@ -53,18 +53,18 @@
         zone->second = std::max(least_weight, zone->second / 2);
         auto samples = std::min(one->what.samples, most_samples) * weight;
         sum.samples += samples;
-        sum.bad += samples * std::clamp(one->what.bad, 0.0, 1.0);
+        sum.failure_share += samples * std::clamp(one->what.bad, 0.0, 1.0);
         if (one->what.slow > 0) slow.emplace_back(one->what.slow, samples);
         slow_weight += one->what.slow > 0 ? samples : 0;
     }
-    if (sum.samples > 0) sum.bad /= sum.samples;
+    if (sum.samples > 0) sum.failure_share /= sum.samples;
     // The weighted median: one witness can't make it whatever it likes.
     std::sort(slow.begin(), slow.end());
     double passed = 0;
     for (auto& [value, weight] : slow) {
         passed += weight;
         if (passed * 2 >= slow_weight) {
-            sum.slow = value;
+            sum.slowdown = value;
             break;
         }
     }
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -51,7 +51,7 @@
     void hear(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
               Micros now);
     // `start`: in the list that this router has.
-    Hearsay weigh(CacheId server, std::uint64_t start, Micros now) const;
+    PeerHealthReport weigh(CacheId server, std::uint64_t start, Micros now) const;
     // Servers of which anything is held.
     std::vector<CacheId> named() const;
     void expire(Micros now);
--- a/src/site/site.cpp
+++ b/src/site/site.cpp
@@ -18,29 +18,30 @@
     throw Unusable("start-up settings: unknown word '" + text + "'");
 }
 
-TrafficFacts read_traffic(const json& grade, const json& family, std::size_t i) {
-    TrafficFacts t{};
-    t.goal = grade.at("promise").get<Micros>();
-    t.goal_stretch = grade.value("aim_stretch", 0.0);
-    t.effect = word<Effect>(
-        grade.at("effect"),
-        {{"retryable", Effect::Rerunnable}, {"dedup", Effect::Ticketed}, {"fragile", Effect::Exclusive}});
-    t.group = word<Group>(grade.at("dedup_scope"),
-                          {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
-    t.window = grade.at("key_ttl").get<Micros>();
-    t.fresh = family.at("fresh_for").at(i).get<Micros>();
+TrafficTypeSettings read_traffic(const json& grade, const json& family, std::size_t i) {
+    TrafficTypeSettings t{};
+    t.latency_goal = grade.at("promise").get<Micros>();
+    t.latency_goal_factor = grade.value("aim_stretch", 0.0);
+    t.idempotency = word<Idempotency>(grade.at("effect"), {{"retryable", Idempotency::Idempotent},
+                                                           {"dedup", Idempotency::Keyed},
+                                                           {"fragile", Idempotency::NonIdempotent}});
+    t.dedup_scope =
+        word<DedupScope>(grade.at("dedup_scope"),
+                         {{"all", DedupScope::All}, {"zone", DedupScope::Zone}, {"cell", DedupScope::Cell}});
+    t.dedup_window = grade.at("key_ttl").get<Micros>();
+    t.fresh_for = family.at("fresh_for").at(i).get<Micros>();
     t.write = family.at("pass_on").at(i).get<bool>();
     return t;
 }
 
 }  // namespace
 
-SiteFacts read_facts(const json& told) {
+SiteSettings read_facts(const json& told) {
     try {
         auto& family = told.at("family_info");
         auto& limits = told.at("limits");
         auto& safety = told.at("safety");
-        SiteFacts site{};
+        SiteSettings site{};
         auto& grades = told.at("grades");
         for (std::size_t i = 0; i < grades.size(); i++)
             site.traffic.push_back(read_traffic(grades.at(i), family, i));
@@ -48,34 +49,35 @@
         site.zone = told.at("zone").get<int>();
         site.parent_kind = family.at("shield_kind").get<int>();
         site.origin_kind = family.at("master_kind").get<int>();
-        site.transmissions_cap = limits.at("attempts_cap").get<int>();
+        site.max_attempts = limits.at("attempts_cap").get<int>();
         site.routers_by_zone = family.at("count_by_zone").get<std::vector<int>>();
-        site.second_copies = limits.at("second_copies").get<bool>();
-        site.withdraw = limits.at("cancel").get<bool>();
+        site.hedging = limits.at("second_copies").get<bool>();
+        site.cancellation = limits.at("cancel").get<bool>();
         site.probes = limits.at("probes").get<bool>();
         site.retry_after = limits.at("retry_after").get<bool>();
-        site.joins = family.at("can_join").get<bool>();
+        site.collapsing = family.at("can_join").get<bool>();
         site.direct = family.at("direct").get<bool>();
-        site.ratings_are_links = told.at("weights").get<std::string>() == "nominal";
-        site.notes =
-            word<NotesTold>(family.at("notes_given"),
-                            {{"all", NotesTold::All}, {"hit", NotesTold::Hit}, {"off", NotesTold::None}});
-        site.kb_per_s = family.at("client_kb_per_s").get<double>();
-        site.most_retry_after = limits.at("max_retry_after").get<Micros>();
-        site.purge_done = family.at("purge_done").get<Micros>();
-        site.cold_from = safety.at("cold_from").get<double>();
-        site.cold_multiple = safety.at("fall_multiple").get<double>();
-        site.cold = safety.at("cold").get<Micros>();
-        site.cold_window = safety.at("overload_for").get<Micros>();
-        site.parent_cold_from = family.at("parent_cold_from").get<double>();
-        site.parent_multiple = family.at("parent_limit_factor").get<double>();
-        site.parent_cold = family.at("parent_cold").get<Micros>();
-        site.link_use_at = -1;
+        site.weights_are_link_rates = told.at("weights").get<std::string>() == "nominal";
+        site.cache_status_reporting =
+            word<CacheStatusReporting>(family.at("notes_given"), {{"all", CacheStatusReporting::All},
+                                                                  {"hit", CacheStatusReporting::HitsOnly},
+                                                                  {"off", CacheStatusReporting::None}});
+        site.client_kb_per_s = family.at("client_kb_per_s").get<double>();
+        site.max_retry_after = limits.at("max_retry_after").get<Micros>();
+        site.purge_retention = family.at("purge_done").get<Micros>();
+        site.cold_initial_share = safety.at("cold_from").get<double>();
+        site.cold_budget_multiple = safety.at("fall_multiple").get<double>();
+        site.cold_period = safety.at("cold").get<Micros>();
+        site.cold_budget_window = safety.at("overload_for").get<Micros>();
+        site.parent_cold_initial_share = family.at("parent_cold_from").get<double>();
+        site.parent_cold_budget_multiple = family.at("parent_limit_factor").get<double>();
+        site.parent_cold_period = family.at("parent_cold").get<Micros>();
+        site.link_utilization_index = -1;
         auto& reported = told.at("load_report").at("fields");
         for (std::size_t i = 0; i < reported.size(); i++)
-            if (reported.at(i).get<std::string>() == "x1") site.link_use_at = static_cast<int>(i);
-        site.list_must_be_asked = told.at("discovery").get<std::string>() == "ask";
-        if (site.traffic.empty() || site.kb_per_s <= 0)
+            if (reported.at(i).get<std::string>() == "x1") site.link_utilization_index = static_cast<int>(i);
+        site.must_request_list = told.at("discovery").get<std::string>() == "ask";
+        if (site.traffic.empty() || site.client_kb_per_s <= 0)
             throw Unusable("start-up settings: no traffic or no pace");
         if (site.zone < 0 || static_cast<std::size_t>(site.zone) >= site.routers_by_zone.size())
             throw Unusable("start-up settings: the zone is not one of the zones");
--- a/src/site/site.hpp
+++ b/src/site/site.hpp
@@ -22,7 +22,7 @@
     Micros connect_time = 0, idle_time = 0, longest_wait = 0;
 };
 
-SiteFacts read_facts(const nlohmann::json& told);  // throws Unusable
-Terms read_terms(const nlohmann::json& told);      // throws Unusable
+SiteSettings read_facts(const nlohmann::json& told);  // throws Unusable
+Terms read_terms(const nlohmann::json& told);         // throws Unusable
 
 }  // namespace quillgrade::site
--- a/src/thrift/message.cpp
+++ b/src/thrift/message.cpp
@@ -125,11 +125,11 @@
     lookup.facts = {.id = *id,
                     .traffic = static_cast<int>(type - traffic.begin()),
                     .object = *object,
-                    .due = 0,
+                    .deadline = 0,
                     .kbytes = *kbytes,
                     .group = static_cast<int>(*group),
                     .part = static_cast<int>(*part),
-                    .repeat = field("r") == "1",
+                    .retry = field("r") == "1",
                     .write = false};
     lookup.wait = *wait * ms;
     lookup.body = body;
--- a/src/thrift/message.hpp
+++ b/src/thrift/message.hpp
@@ -18,7 +18,7 @@
 // A lookup; facts.due is left open, as it runs from when the last byte came.
 struct Lookup {
     std::int32_t seq = 0;
-    LookupFacts facts{};
+    LookupInfo facts{};
     Micros wait = 0;
     std::string have, ticket, body;  // they go on unchanged; ticket: by which caches know a repeat
     std::vector<std::pair<std::string, std::string>> named;  // of those that were wanted
--- a/src/version/bundle.cpp
+++ b/src/version/bundle.cpp
@@ -22,12 +22,12 @@
     return all.empty() ? "nothing" : all;
 }
 
-Allowed allowed_by(const SiteFacts& facts, const site::Terms& terms) {
+Allowed allowed_by(const SiteSettings& facts, const site::Terms& terms) {
     return {terms,
-            facts.transmissions_cap,
-            facts.second_copies,
-            facts.most_retry_after,
-            {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.transmissions_cap},
+            facts.max_attempts,
+            facts.hedging,
+            facts.max_retry_after,
+            {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.max_attempts},
             route::usual_budget};
 }
 
--- a/src/version/bundle.hpp
+++ b/src/version/bundle.hpp
@@ -83,6 +83,6 @@
     route::Site rule_site;
     std::uint64_t rule_budget = route::usual_budget;
 };
-Allowed allowed_by(const SiteFacts& facts, const site::Terms& terms);
+Allowed allowed_by(const SiteSettings& facts, const site::Terms& terms);
 
 }  // namespace quillgrade::version
--- a/src/version/check.cpp
+++ b/src/version/check.cpp
@@ -213,14 +213,14 @@
     if (box.cell() > 65'535) return fault(where, "its cell is over 65535");
     entry.cell = static_cast<int>(box.cell());
     if (box.state() < 0 || box.state() > 2) return fault(where, "its state is none of READY, DRAINING, GONE");
-    static constexpr std::array states = {Listed::Ready, Listed::Draining, Listed::Gone};
-    entry.listed = states[static_cast<std::size_t>(box.state())];
+    static constexpr std::array states = {EndpointState::Ready, EndpointState::Draining, EndpointState::Gone};
+    entry.state = states[static_cast<std::size_t>(box.state())];
     if (!(box.weight() >= 0 && box.weight() <= most_weight))
         return fault(where, "its weight is out of range");
-    entry.rating = box.weight() > 0 ? box.weight() : 1;
+    entry.weight = box.weight() > 0 ? box.weight() : 1;
     if (box.started_ms() < 0 || box.started_ms() > latest_ms)
         return fault(where, "its start is out of range");
-    entry.started = box.started_ms() * ms;
+    entry.started_at = box.started_ms() * ms;
     reading->boxes.push_back(endpoint);
     add(endpoint, where);
 }
@@ -228,7 +228,7 @@
 void Check::add(const feed::Endpoint& endpoint, const std::string& where) {
     if (!ids.insert(endpoint.entry.id).second)
         return fault(where, "id " + id_text(endpoint.entry.id) + " stands there twice");
-    if (endpoint.entry.listed != Listed::Gone) {
+    if (endpoint.entry.state != EndpointState::Gone) {
         auto [other, fresh] =
             places.try_emplace(std::uint64_t{endpoint.address} << 16 | endpoint.port, endpoint.entry.id);
         if (!fresh)
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -25,35 +25,35 @@
 
 TEST_CASE("a kept name goes on asking keep, and later parts follow without counting") {
     auto r = router();
-    r.names[77] = {3, true};
+    r.object_counts[77] = {3, true};
     CHECK(keep_or_pass(r, lookup(1, 77, 4), noon));
-    CHECK(r.names[77].asked == 3);
+    CHECK(r.object_counts[77].lookups == 3);
     CHECK(keep_or_pass(r, lookup(1, 77, 0), noon));
-    CHECK(r.names[77].asked == 4);
-    r.names[78] = {3, false};
+    CHECK(r.object_counts[77].lookups == 4);
+    r.object_counts[78] = {3, false};
     CHECK_FALSE(keep_or_pass(r, lookup(1, 78, 4), noon));
 }
 
 TEST_CASE("a later part of a name that is not known counts as the first") {
     auto r = router();
     keep_or_pass(r, lookup(1, 77, 4), noon);
-    CHECK(r.names[77].asked == 1);
+    CHECK(r.object_counts[77].lookups == 1);
 }
 
 TEST_CASE("counts halve every 30 s and a name that falls to nothing is forgotten") {
     auto r = router();
     r.halved_at = noon;
-    r.names[1] = {1, true};
-    r.names[2] = {9, true};
+    r.object_counts[1] = {1, true};
+    r.object_counts[2] = {9, true};
     keep_or_pass(r, lookup(1, 77), noon + 30 * test_second);
-    CHECK_FALSE(r.names.contains(1));
-    CHECK(r.names[2].asked == 4);
+    CHECK_FALSE(r.object_counts.contains(1));
+    CHECK(r.object_counts[2].lookups == 4);
 }
 
 TEST_CASE("the table of names is bounded") {
     auto r = router();
     for (ObjectId object = 0; object < 40000; object++) keep_or_pass(r, lookup(1, object + 1), noon);
-    CHECK(r.names.size() <= 16384);
+    CHECK(r.object_counts.size() <= 16384);
 }
 
 TEST_CASE("uncacheable lookups pass untouched") {
@@ -61,86 +61,87 @@
     auto write = lookup(1);
     write.write = true;
     CHECK_FALSE(keep_or_pass(r, write, noon));
-    CHECK(r.names.empty());
+    CHECK(r.object_counts.empty());
 }
 
 TEST_CASE("of two parents the one with the lower first-byte time is the source") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    find_server(r, 11)->first_byte = {{noon, 100e3}};
-    find_server(r, 12)->first_byte = {{noon, 30e3}};
-    CHECK(pick_source(r, held, noon) == 12);
+    PendingLookup held;
+    held.info = lookup(1);
+    find_server(r, 11)->first_byte_times = {{noon, 100e3}};
+    find_server(r, 12)->first_byte_times = {{noon, 30e3}};
+    CHECK(pick_upstream(r, held, noon) == 12);
 }
 
 // Guards against calcul-rate-later's big-1: a slow parent, judged by its few answers, went on being named.
 TEST_CASE("what a parent has not yet answered counts in its first-byte time") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    find_server(r, 11)->first_byte = {{noon, 20e3}};
-    find_server(r, 12)->first_byte = {{noon, 30e3}};
-    CHECK(pick_source(r, held, noon) == 11);
+    PendingLookup held;
+    held.info = lookup(1);
+    find_server(r, 11)->first_byte_times = {{noon, 20e3}};
+    find_server(r, 12)->first_byte_times = {{noon, 30e3}};
+    CHECK(pick_upstream(r, held, noon) == 11);
     find_server(r, 11)->in_flight = {{9, 0, 0, noon - test_second, 0, 100 * test_ms}};
-    CHECK(pick_source(r, held, noon) == 12);
+    CHECK(pick_upstream(r, held, noon) == 12);
 }
 
 // Guards against sources that change with the size of the last answers: untold first-byte times are the lag
 // less the sending time.
 TEST_CASE("where the wait is not told, a source's first byte is the lag less the sending time") {
     auto r = router();
-    auto handle = r.take(lookup(1), noon);
-    auto sent = handle.place(noon);
-    handle.ended(end(Outcome::Ok, sent.send->cache, Note::Filled), noon);
-    CHECK(find_server(r, sent.send->source)->first_byte.back().value == 0);
-    auto other = r.take(lookup(2), noon);
-    sent = other.place(noon);
-    auto late = end(Outcome::Ok, sent.send->cache, Note::Filled);
-    late.lag = 140 * test_ms;
-    other.ended(late, noon);
-    CHECK(find_server(r, sent.send->source)->first_byte.back().value == 40e3);
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto sent = handle.first_attempt(noon);
+    handle.attempt_ended(end(Outcome::Ok, sent.send->cache, CacheStatus::Filled), noon);
+    CHECK(find_server(r, sent.send->upstream)->first_byte_times.back().value == 0);
+    auto other = r.add_lookup(lookup(2), noon);
+    sent = other.first_attempt(noon);
+    auto late = end(Outcome::Ok, sent.send->cache, CacheStatus::Filled);
+    late.elapsed = 140 * test_ms;
+    other.attempt_ended(late, noon);
+    CHECK(find_server(r, sent.send->upstream)->first_byte_times.back().value == 40e3);
 }
 
 // Guards against depot-media's big-1: one parent lost and the other failing fast, each excused by the other.
 TEST_CASE("two failing parents do not excuse each other while the origin answers") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
+    PendingLookup held;
+    held.info = lookup(1);
     for (CacheId id : {11, 12}) {
-        find_server(r, id)->verdicts = Samples(8, {noon, 1});
-        find_server(r, id)->last_trial = noon;
+        find_server(r, id)->failures = Samples(8, {noon, 1});
+        find_server(r, id)->last_half_open_probe_at = noon;
     }
-    CHECK(pick_source(r, held, noon) == 20);
-    find_server(r, 20)->verdicts = Samples(8, {noon, 1});
-    CHECK(pick_source(r, held, noon + 60 * test_ms) != 20);
+    CHECK(pick_upstream(r, held, noon) == 20);
+    find_server(r, 20)->failures = Samples(8, {noon, 1});
+    CHECK(pick_upstream(r, held, noon + 60 * test_ms) != 20);
 }
 
 // Guards against partner-schools-later's big-2: a parent was down, and the caches that said so were passed
 // by.
 TEST_CASE("an untold failure is laid to whichever of cache and source fails more in other company") {
     auto facts = a_site();
-    facts.notes = NotesTold::Hit;
+    facts.cache_status_reporting = CacheStatusReporting::HitsOnly;
     auto r = router(facts);
-    auto handle = r.take(lookup(1), noon);
-    auto sent = handle.place(noon);
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto sent = handle.first_attempt(noon);
     auto* cache = find_server(r, sent.send->cache);
-    auto* source = find_server(r, sent.send->source);
-    cache->verdicts = Samples(4, {noon, 0});
-    source->verdicts = Samples(3, {noon, 1, 99});
-    auto next = handle.ended(end(Outcome::Full, cache->id), noon);
-    CHECK(cache->verdicts.back().value == 0);
-    CHECK(source->verdicts.back().value == 1);
+    auto* source = find_server(r, sent.send->upstream);
+    cache->failures = Samples(4, {noon, 0});
+    source->failures = Samples(3, {noon, 1, 99});
+    auto next = handle.attempt_ended(end(Outcome::Overloaded, cache->id), noon);
+    CHECK(cache->failures.back().value == 0);
+    CHECK(source->failures.back().value == 1);
     REQUIRE(next.send);
     CHECK(next.send->cache == cache->id);
-    CHECK(next.send->source != source->id);
+    CHECK(next.send->upstream != source->id);
 }
 
 // Guards against incident i8d9138: a school whose caches had died went on trying to reach each of them.
 TEST_CASE("caches that cannot be reached get trials and nothing else") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    for (CacheId id : {1, 2, 3}) find_server(r, id)->unreached_at = find_server(r, id)->last_trial = noon;
+    PendingLookup held;
+    held.info = lookup(1);
+    for (CacheId id : {1, 2, 3})
+        find_server(r, id)->unreachable_since = find_server(r, id)->last_half_open_probe_at = noon;
     CHECK_FALSE(pick_cache(r, held, noon + 100 * test_ms));
     CHECK(pick_cache(r, held, noon + test_second));
 }
@@ -148,10 +149,11 @@
 // Guards against trials that become most of what a router with few lookups sends.
 TEST_CASE("a router that takes few lookups tries a cache out of favour less often") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    for (CacheId id : {1, 2, 3}) find_server(r, id)->unreached_at = find_server(r, id)->last_trial = noon;
-    for (int i = 0; i < 10; i++) r.taken.push_back({noon + (i - 8) * (500 * test_ms), 1});
+    PendingLookup held;
+    held.info = lookup(1);
+    for (CacheId id : {1, 2, 3})
+        find_server(r, id)->unreachable_since = find_server(r, id)->last_half_open_probe_at = noon;
+    for (int i = 0; i < 10; i++) r.recent_lookups.push_back({noon + (i - 8) * (500 * test_ms), 1});
     CHECK_FALSE(pick_cache(r, held, noon + test_second));
     CHECK(pick_cache(r, held, noon + 15 * test_second));
 }
@@ -160,8 +162,8 @@
 // whose waiting fills would look like such a crowd.
 TEST_CASE("a cache that holds rate times time gives way, but not for lookups that wait for a fill") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
+    PendingLookup held;
+    held.info = lookup(1);
     auto* first = pick_cache(r, held, noon);
     first->in_flight = std::vector<InFlight>(8, {9, 0, 0, noon, 0, 100 * test_ms});
     CHECK(pick_cache(r, held, noon) != first);
@@ -175,8 +177,8 @@
     auto r = router();
     std::set<CacheId> met;
     for (int part = 0; part < 20; part++) {
-        Held held;
-        held.facts = lookup(1, 77, part);
+        PendingLookup held;
+        held.info = lookup(1, 77, part);
         auto* cache = pick_cache(r, held, noon);
         met.insert(cache->id);
         CHECK(pick_cache(r, held, noon) == cache);
@@ -188,62 +190,62 @@
 // rejected.
 TEST_CASE("what trials meet at a cache under complaint is no crowd") {
     auto r = router();
-    for (CacheId id : {1, 2, 3}) find_server(r, id)->room = Samples(4, {noon, 0.1});
-    find_server(r, 3)->room = Samples(8, {noon, 9});
-    CHECK(crowd(r, noon) > 1);
-    find_server(r, 3)->unreached_at = noon;
-    CHECK(crowd(r, noon) == doctest::Approx(0.1));
+    for (CacheId id : {1, 2, 3}) find_server(r, id)->slack_used = Samples(4, {noon, 0.1});
+    find_server(r, 3)->slack_used = Samples(8, {noon, 9});
+    CHECK(cache_congestion(r, noon) > 1);
+    find_server(r, 3)->unreachable_since = noon;
+    CHECK(cache_congestion(r, noon) == doctest::Approx(0.1));
 }
 
 // Guards against partner-schools-later's overload and calcul-rate-later's big-1: a jammed link in and a slow
 // origin look alike from the time that fills take, and want different answers.
 TEST_CASE("a jammed link keeps large lookups from filling") {
     auto r = router();
-    r.traffic[0].sizes = Samples(8, {noon, 10e3});
-    for (int i = 0; i < 8; i++) find_server(r, 1)->link_use.push_back({noon, 6});
-    auto sent = r.take(lookup(1), noon).place(noon);
+    r.traffic_types[0].sending_times = Samples(8, {noon, 10e3});
+    for (int i = 0; i < 8; i++) find_server(r, 1)->link_utilization.push_back({noon, 6});
+    auto sent = r.add_lookup(lookup(1), noon).first_attempt(noon);
     REQUIRE(sent.send);
-    CHECK(sent.send->source == sent.send->cache);
+    CHECK(sent.send->upstream == sent.send->cache);
 }
 
 // Guards against partner-schools' big-2: to free a fifth of the work a fifth of the lookups was rejected.
 TEST_CASE("a share of the work is freed by fewer lookups than a share of the lookups") {
     auto r = router();
-    for (int i = 0; i < 9; i++) r.traffic[0].sizes.push_back({noon, 10e3});
-    r.traffic[0].sizes.push_back({noon, 910e3});
-    Held held;
-    held.sending = 20 * test_ms;
-    CHECK_FALSE(too_large(r, held, 0.5, 0, 1, true));
-    held.sending = 920 * test_ms;
-    CHECK(too_large(r, held, 0.5, 0, 1, true));
-    held.sending = 20 * test_ms;
-    CHECK(too_large(r, held, 0.5, 0, 1, false));
+    for (int i = 0; i < 9; i++) r.traffic_types[0].sending_times.push_back({noon, 10e3});
+    r.traffic_types[0].sending_times.push_back({noon, 910e3});
+    PendingLookup held;
+    held.sending_time = 20 * test_ms;
+    CHECK_FALSE(should_shed(r, held, 0.5, 0, 1, true));
+    held.sending_time = 920 * test_ms;
+    CHECK(should_shed(r, held, 0.5, 0, 1, true));
+    held.sending_time = 20 * test_ms;
+    CHECK(should_shed(r, held, 0.5, 0, 1, false));
 }
 
 // Guards against incident i6108ec: with the origin out of reach, fills failed at once and held every place,
 // and routers with few lookups each had too few of them out to see a crowd.
 TEST_CASE("fills that failed or came late tell a crowd of fills though few are out") {
     auto r = router();
-    r.traffic[0].fill_room = Samples(8, {noon, 0.2});
-    CHECK(fill_crowd(r, 0, noon) < 0.1);
-    r.traffic[0].fill_room = Samples(8, {noon, 1.5});
-    CHECK(fill_crowd(r, 0, noon) > 0.5);
+    r.traffic_types[0].fill_slack_used = Samples(8, {noon, 0.2});
+    CHECK(fill_congestion(r, 0, noon) < 0.1);
+    r.traffic_types[0].fill_slack_used = Samples(8, {noon, 1.5});
+    CHECK(fill_congestion(r, 0, noon) > 0.5);
 }
 
 // Guards against incident i56a22c: parents failed fast, and for that large lookups were kept from a sound
 // origin.
 TEST_CASE("what fills meet at a source under complaint is no crowd of fills") {
     auto r = router();
-    r.traffic[0].fill_room = Samples(8, {noon, 1.5, 11});
-    CHECK(fill_crowd(r, 0, noon) > 0.5);
-    find_server(r, 11)->unreached_at = noon;
-    CHECK(fill_crowd(r, 0, noon) == 0);
+    r.traffic_types[0].fill_slack_used = Samples(8, {noon, 1.5, 11});
+    CHECK(fill_congestion(r, 0, noon) > 0.5);
+    find_server(r, 11)->unreachable_since = noon;
+    CHECK(fill_congestion(r, 0, noon) == 0);
 }
 
 // Guards against work for each lookup that grows with the whole fleet.
 TEST_CASE("caches of other locations are not kept, parents and the origin are") {
     auto r = router();
-    r.list({entry(31, 0, 2), entry(32, 1, 0)}, false, noon);
+    r.update_endpoints({entry(31, 0, 2), entry(32, 1, 0)}, false, noon);
     CHECK_FALSE(find_server(r, 31));
     CHECK(find_server(r, 32));
 }
@@ -252,56 +254,56 @@
 // they lacked it, and the origin was asked for all.
 TEST_CASE("a parent that lacks an object has not failed") {
     auto r = router();
-    auto handle = r.take(lookup(1), noon);
-    auto sent = handle.place(noon);
-    handle.held.held_only = true;
-    handle.ended(end(Outcome::Miss, sent.send->cache, Note::SourceLacks), noon);
-    CHECK(find_server(r, sent.send->source)->verdicts.empty());
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto sent = handle.first_attempt(noon);
+    handle.lookup.only_if_cached = true;
+    handle.attempt_ended(end(Outcome::Miss, sent.send->cache, CacheStatus::UpstreamMiss), noon);
+    CHECK(find_server(r, sent.send->upstream)->failures.empty());
 }
 
 // Guards against 0.4 probes a lookup where many routers share a location and each hears little.
 TEST_CASE("the link's use is probed for only where answers do not bring it") {
     auto r = router();
-    CHECK(r.tend(noon).probe.size() == 1);
-    r.told_in_answers = true;
-    CHECK(r.tend(noon + test_second).probe.empty());
+    CHECK(r.run_maintenance(noon).probe.size() == 1);
+    r.load_in_responses = true;
+    CHECK(r.run_maintenance(noon + test_second).probe.empty());
 }
 
 TEST_CASE("the link's use is heard from load reports") {
     auto r = router();
-    r.probed(1, Outcome::Ok, 0, {2, {5, 3}}, noon);
-    CHECK(link_crowd(r, noon) == doctest::Approx(3.0));
-    CHECK(link_crowd(r, noon + 9 * test_second) == 0);
+    r.probe_ended(1, Outcome::Ok, 0, {2, {5, 3}}, noon);
+    CHECK(link_congestion(r, noon) == doctest::Approx(3.0));
+    CHECK(link_congestion(r, noon + 9 * test_second) == 0);
 }
 
 // Guards against a link that is left empty while reports still call it jammed.
 TEST_CASE("a report of the link counts in proportion to what is out by now") {
     auto r = router();
-    for (int i = 0; i < 3; i++) find_server(r, 1)->link_use.push_back({noon, 12});
-    for (int i = 0; i < 4; i++) r.out.push_back({noon, 23});
-    CHECK(link_crowd(r, noon) == doctest::Approx(0.5));
+    for (int i = 0; i < 3; i++) find_server(r, 1)->link_utilization.push_back({noon, 12});
+    for (int i = 0; i < 4; i++) r.upstream_in_flight.push_back({noon, 23});
+    CHECK(link_congestion(r, noon) == doctest::Approx(0.5));
     find_server(r, 11)->in_flight.resize(11);
-    CHECK(link_crowd(r, noon) == doctest::Approx(6.0));
+    CHECK(link_congestion(r, noon) == doctest::Approx(6.0));
     find_server(r, 11)->in_flight.resize(90);
-    CHECK(link_crowd(r, noon) == doctest::Approx(12.0));
+    CHECK(link_congestion(r, noon) == doctest::Approx(12.0));
 }
 
 TEST_CASE("a cache's last report of the link is the one that counts") {
     auto r = router();
-    for (double use : {8.0, 8.0, 8.0, 2.0}) find_server(r, 1)->link_use.push_back({noon, use});
-    CHECK(link_crowd(r, noon) == doctest::Approx(2.0));
+    for (double use : {8.0, 8.0, 8.0, 2.0}) find_server(r, 1)->link_utilization.push_back({noon, use});
+    CHECK(link_congestion(r, noon) == doctest::Approx(2.0));
 }
 
 // Guards against memory that grows as caches come and go under ever new ids.
 TEST_CASE("nothing is kept of a server that has gone, and a lookup that waits there moves on") {
     auto r = router();
-    auto handle = r.take(lookup(1), noon);
-    auto first = handle.place(noon).send->cache;
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto first = handle.first_attempt(noon).send->cache;
     auto gone = entry(first);
-    gone.listed = Listed::Gone;
-    r.list({gone, entry(20, 2, 0)}, false, noon);
+    gone.state = EndpointState::Gone;
+    r.update_endpoints({gone, entry(20, 2, 0)}, false, noon);
     CHECK(r.servers.size() == 5);
-    auto moved = handle.look(noon + test_second);
+    auto moved = handle.check(noon + test_second);
     REQUIRE(moved.send);
     CHECK(moved.send->cache != first);
 }
@@ -309,15 +311,15 @@
 // Guards against objects that chance moves to and fro between two sound parents, each keeping a copy.
 TEST_CASE("an object stays with its first parent until the second is clearly quicker") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    auto first = pick_source(r, held, noon);
+    PendingLookup held;
+    held.info = lookup(1);
+    auto first = pick_upstream(r, held, noon);
     CacheId second = first == 11 ? 12 : 11;
-    find_server(r, first)->first_byte = {{noon, 60e3}};
-    find_server(r, second)->first_byte = {{noon, 45e3}};
-    CHECK(pick_source(r, held, noon) == first);
-    find_server(r, second)->first_byte = {{noon, 30e3}};
-    CHECK(pick_source(r, held, noon) == second);
+    find_server(r, first)->first_byte_times = {{noon, 60e3}};
+    find_server(r, second)->first_byte_times = {{noon, 45e3}};
+    CHECK(pick_upstream(r, held, noon) == first);
+    find_server(r, second)->first_byte_times = {{noon, 30e3}};
+    CHECK(pick_upstream(r, held, noon) == second);
 }
 
 // Guards against a client whose made-up sizes move what counts as large, and as much, for everybody else.
@@ -325,65 +327,65 @@
     auto r = router();
     auto huge = lookup(1);
     huge.kbytes = 1e9;
-    CHECK(r.take(huge, noon).place(noon).final == Final::Rejected);
-    CHECK(r.traffic[0].sizes.empty());
+    CHECK(r.add_lookup(huge, noon).first_attempt(noon).final_result == FinalResult::Rejected);
+    CHECK(r.traffic_types[0].sending_times.empty());
 }
 
 // Guards against a cache that looks unreachable because this router had no connection left for a probe.
 TEST_CASE("a probe that was never sent says nothing of its cache") {
     auto r = router();
-    r.probed(1, Outcome::Moot, 0, {}, noon);
-    CHECK_FALSE(complaint(r, *find_server(r, 1), noon));
-    r.probed(1, Outcome::Timeout, 0, {}, noon);
-    CHECK(complaint(r, *find_server(r, 1), noon));
+    r.probe_ended(1, Outcome::NotSent, 0, {}, noon);
+    CHECK_FALSE(ejection_reason(r, *find_server(r, 1), noon));
+    r.probe_ended(1, Outcome::Timeout, 0, {}, noon);
+    CHECK(ejection_reason(r, *find_server(r, 1), noon));
 }
 
 // Guards against answers that break off in silence: the lookup waited for its time limit.
 TEST_CASE("a lookup later than nearly all of its type gets a copy, a slow one or a crowded site does not") {
     auto r = router();
-    for (int i = 0; i < 64; i++) r.traffic[0].extra.push_back({noon, i < 60 ? 50e3 : 300e3});
-    auto handle = r.take(lookup(1), noon);
-    REQUIRE(handle.place(noon).send);
-    CHECK_FALSE(handle.look(noon + 390 * test_ms).send);  // 100 ms of it are for sending
-    find_server(r, 1)->link_use.push_back({noon, 3});
-    CHECK_FALSE(handle.look(noon + 410 * test_ms).send);
-    find_server(r, 1)->link_use.clear();
-    r.traffic[0].fill_room = Samples(8, {noon, 0.9});  // fills are slow, not lost
-    CHECK_FALSE(handle.look(noon + 410 * test_ms).send);
-    r.traffic[0].fill_room.clear();
-    auto source = r.held.at(1).rounds[0].source;
-    auto copy = handle.look(noon + 410 * test_ms).send;
+    for (int i = 0; i < 64; i++) r.traffic_types[0].excess_times.push_back({noon, i < 60 ? 50e3 : 300e3});
+    auto handle = r.add_lookup(lookup(1), noon);
+    REQUIRE(handle.first_attempt(noon).send);
+    CHECK_FALSE(handle.check(noon + 390 * test_ms).send);  // 100 ms of it are for sending
+    find_server(r, 1)->link_utilization.push_back({noon, 3});
+    CHECK_FALSE(handle.check(noon + 410 * test_ms).send);
+    find_server(r, 1)->link_utilization.clear();
+    r.traffic_types[0].fill_slack_used = Samples(8, {noon, 0.9});  // fills are slow, not lost
+    CHECK_FALSE(handle.check(noon + 410 * test_ms).send);
+    r.traffic_types[0].fill_slack_used.clear();
+    auto source = r.lookups.at(1).attempts[0].upstream;
+    auto copy = handle.check(noon + 410 * test_ms).send;
     REQUIRE(copy);
-    CHECK(copy->source != source);
-    CHECK_FALSE(handle.look(noon + 900 * test_ms).send);  // one copy is enough
-    r.traffic[0].effect = Effect::Exclusive;
-    auto exclusive = r.take(lookup(2), noon);
-    REQUIRE(exclusive.place(noon).send);
-    CHECK_FALSE(exclusive.look(noon + 410 * test_ms).send);
+    CHECK(copy->upstream != source);
+    CHECK_FALSE(handle.check(noon + 900 * test_ms).send);  // one copy is enough
+    r.traffic_types[0].idempotency = Idempotency::NonIdempotent;
+    auto exclusive = r.add_lookup(lookup(2), noon);
+    REQUIRE(exclusive.first_attempt(noon).send);
+    CHECK_FALSE(exclusive.check(noon + 410 * test_ms).send);
 }
 
 // Guards against a parent that has fallen silent and counts as heard with every fill that runs out of time.
 TEST_CASE("a fill that ran out of time is no word from its source") {
     auto facts = a_site();
-    facts.notes = NotesTold::Hit;
+    facts.cache_status_reporting = CacheStatusReporting::HitsOnly;
     auto r = router(facts);
-    auto handle = r.take(lookup(1), noon);
-    auto sent = handle.place(noon).send;
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto sent = handle.first_attempt(noon).send;
     REQUIRE(sent);
-    find_server(r, sent->source)->verdicts = Samples(8, {noon, 1});
-    handle.ended(end(Outcome::Timeout, sent->cache), noon + test_second);
-    CHECK(find_server(r, sent->source)->verdicts.size() == 9);
-    CHECK(find_server(r, sent->source)->last_sound == 0);
+    find_server(r, sent->upstream)->failures = Samples(8, {noon, 1});
+    handle.attempt_ended(end(Outcome::Timeout, sent->cache), noon + test_second);
+    CHECK(find_server(r, sent->upstream)->failures.size() == 9);
+    CHECK(find_server(r, sent->upstream)->last_response_at == 0);
 }
 
 TEST_CASE("one parent serves alone and none means the origin") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
-    find_server(r, 12)->listed = Listed::Gone;
-    CHECK(pick_source(r, held, noon) == 11);
-    find_server(r, 11)->listed = Listed::Draining;
-    CHECK(pick_source(r, held, noon) == 20);
+    PendingLookup held;
+    held.info = lookup(1);
+    find_server(r, 12)->state = EndpointState::Gone;
+    CHECK(pick_upstream(r, held, noon) == 11);
+    find_server(r, 11)->state = EndpointState::Draining;
+    CHECK(pick_upstream(r, held, noon) == 20);
 }
 
 // Guards against the fault of the first incident on partner-schools: a parent was told to fill from another.
@@ -391,84 +393,84 @@
     auto facts = a_site();
     facts.direct = true;
     auto r = router(facts);
-    for (CacheId id : {1, 2, 3}) find_server(r, id)->listed = Listed::Gone;
-    find_server(r, 11)->first_byte = find_server(r, 12)->first_byte = {{noon, 1}};
-    for (int i = 0; i < 8; i++) find_server(r, 11)->verdicts.push_back({noon, 1});
-    auto answer = r.take(lookup(1), noon).place(noon);
+    for (CacheId id : {1, 2, 3}) find_server(r, id)->state = EndpointState::Gone;
+    find_server(r, 11)->first_byte_times = find_server(r, 12)->first_byte_times = {{noon, 1}};
+    for (int i = 0; i < 8; i++) find_server(r, 11)->failures.push_back({noon, 1});
+    auto answer = r.add_lookup(lookup(1), noon).first_attempt(noon);
     REQUIRE(answer.send);
-    CHECK(answer.send->source == 20);
+    CHECK(answer.send->upstream == 20);
 }
 
 TEST_CASE("rule 1: a lookup whose caches are all gone is rejected at once, with advice") {
     auto r = router();
-    for (CacheId id : {1, 2, 3}) find_server(r, id)->listed = Listed::Gone;
-    auto answer = r.take(lookup(1), noon).place(noon);
-    CHECK(answer.final == Final::Rejected);
-    CHECK(answer.come_back > 0);
-    CHECK_FALSE(r.find(1));
+    for (CacheId id : {1, 2, 3}) find_server(r, id)->state = EndpointState::Gone;
+    auto answer = r.add_lookup(lookup(1), noon).first_attempt(noon);
+    CHECK(answer.final_result == FinalResult::Rejected);
+    CHECK(answer.retry_after > 0);
+    CHECK_FALSE(r.find_lookup(1));
 }
 
 TEST_CASE("rule 1: a time-out at the client's limit is answered by a break-off and nothing is sent") {
     auto r = router();
-    auto handle = r.take(lookup(1), noon);
-    auto sent = handle.place(noon);
-    auto answer = handle.ended(end(Outcome::Timeout, sent.send->cache), noon + 4 * test_second);
-    CHECK(answer.final == Final::BrokenOff);
+    auto handle = r.add_lookup(lookup(1), noon);
+    auto sent = handle.first_attempt(noon);
+    auto answer = handle.attempt_ended(end(Outcome::Timeout, sent.send->cache), noon + 4 * test_second);
+    CHECK(answer.final_result == FinalResult::Failed);
     CHECK_FALSE(answer.send);
 }
 
 TEST_CASE("rule 1: with no outcome at all, looking in at the limit ends the lookup") {
     auto r = router();
-    auto handle = r.take(lookup(1), noon);
-    handle.place(noon);
-    CHECK(handle.look(noon + 4 * test_second).final == Final::BrokenOff);
+    auto handle = r.add_lookup(lookup(1), noon);
+    handle.first_attempt(noon);
+    CHECK(handle.check(noon + 4 * test_second).final_result == FinalResult::Failed);
 }
 
 TEST_CASE("rule 2: an exclusive lookup that may have run is neither sent again nor rejected") {
     auto facts = a_site();
-    facts.traffic[0].effect = Effect::Exclusive;
+    facts.traffic[0].idempotency = Idempotency::NonIdempotent;
     auto r = router(facts);
-    Held held;
-    held.facts = lookup(1);
-    held.rounds = {{1, 11, noon, 0, false, true}};
-    CHECK_FALSE(may_send(r, held, *find_server(r, 2), noon));
+    PendingLookup held;
+    held.info = lookup(1);
+    held.attempts = {{1, 11, noon, 0, false, true}};
+    CHECK_FALSE(may_attempt(r, held, *find_server(r, 2), noon));
     CHECK_FALSE(may_reject(r, held));
-    held.rounds[0].may_have_run = false;
-    CHECK(may_send(r, held, *find_server(r, 2), noon));
+    held.attempts[0].may_have_executed = false;
+    CHECK(may_attempt(r, held, *find_server(r, 2), noon));
     CHECK(may_reject(r, held));
 }
 
 TEST_CASE("rule 2: a ticketed lookup stays in its group and inside its window") {
     auto facts = a_site();
-    facts.traffic[0].effect = Effect::Ticketed;
-    facts.traffic[0].group = Group::Cell;
+    facts.traffic[0].idempotency = Idempotency::Keyed;
+    facts.traffic[0].dedup_scope = DedupScope::Cell;
     auto r = router(facts);
-    Held held;
-    held.facts = lookup(1);
-    held.rounds = {{1, 11, noon, 0, false, true}};
-    CHECK(may_send(r, held, *find_server(r, 2), noon + test_second));
-    CHECK_FALSE(may_send(r, held, *find_server(r, 2), noon + 4 * test_second));
+    PendingLookup held;
+    held.info = lookup(1);
+    held.attempts = {{1, 11, noon, 0, false, true}};
+    CHECK(may_attempt(r, held, *find_server(r, 2), noon + test_second));
+    CHECK_FALSE(may_attempt(r, held, *find_server(r, 2), noon + 4 * test_second));
     find_server(r, 2)->cell = 8;
-    CHECK_FALSE(may_send(r, held, *find_server(r, 2), noon + test_second));
+    CHECK_FALSE(may_attempt(r, held, *find_server(r, 2), noon + test_second));
     CHECK_FALSE(may_reject(r, held));
 }
 
 TEST_CASE("rule 2: no second transmission beside the first where the site forbids it") {
     auto facts = a_site();
-    facts.second_copies = false;
+    facts.hedging = false;
     auto r = router(facts);
-    Held held;
-    held.facts = lookup(1);
-    held.rounds = {{1, 11, noon, 0, true, true}};
-    CHECK_FALSE(may_send(r, held, *find_server(r, 2), noon));
+    PendingLookup held;
+    held.info = lookup(1);
+    held.attempts = {{1, 11, noon, 0, true, true}};
+    CHECK_FALSE(may_attempt(r, held, *find_server(r, 2), noon));
 }
 
 TEST_CASE("rule 3: a draining cache gets nothing new") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
+    PendingLookup held;
+    held.info = lookup(1);
     auto* first = pick_cache(r, held, noon);
-    first->listed = Listed::Draining;
+    first->state = EndpointState::Draining;
     auto* second = pick_cache(r, held, noon);
     REQUIRE(second);
     CHECK(second->id != first->id);
@@ -476,18 +478,18 @@
 
 TEST_CASE("rule 4: a cold server has a budget over any window, fills included") {
     auto facts = a_site();
-    facts.ratings_are_links = true;
+    facts.weights_are_link_rates = true;
     auto r = router(facts);
     auto& cold = *find_server(r, 1);
-    cold.started = noon;
+    cold.started_at = noon;
     CHECK(within_cold_budget(r, cold, 100e3, noon));
-    cold.spent = {{noon, 700e3}};
+    cold.cold_spending = {{noon, 700e3}};
     CHECK_FALSE(within_cold_budget(r, cold, 100e3, noon));
     CHECK(within_cold_budget(r, cold, 100e3, noon + 2 * test_second));
     CHECK(within_cold_budget(r, cold, 9e6, noon + 10 * test_second));
     auto& parent = *find_server(r, 11);
-    parent.started = noon;
-    parent.spent = {{noon, 150e3}};
+    parent.started_at = noon;
+    parent.cold_spending = {{noon, 150e3}};
     CHECK_FALSE(within_cold_budget(r, parent, 100e3, noon));
 }
 
@@ -497,15 +499,15 @@
 TEST_CASE(
     "a restarted router that knows no rates finds its way up at cold caches, within the settings' ratio") {
     auto r = router();
-    r.traffic[0].sizes = Samples(9, {noon, 100e3});
+    r.traffic_types[0].sending_times = Samples(9, {noon, 100e3});
     auto& cold = *find_server(r, 1);
-    cold.started = noon;
+    cold.started_at = noon;
     CHECK(within_cold_budget(r, cold, 100e3, noon));
-    cold.spent = {{noon, 300e3}};
+    cold.cold_spending = {{noon, 300e3}};
     CHECK_FALSE(within_cold_budget(r, cold, 100e3, noon + 900 * test_ms));
-    cold.finished = {{noon + 100 * test_ms, 1'600e3}};
+    cold.answered = {{noon + 100 * test_ms, 1'600e3}};
     CHECK_FALSE(within_cold_budget(r, cold, 100e3, noon + 900 * test_ms));  // 0.6 x 2 x 0.2 x 1.6 s
-    cold.finished = {{noon + 100 * test_ms, 1'700e3}};
+    cold.answered = {{noon + 100 * test_ms, 1'700e3}};
     CHECK(within_cold_budget(r, cold, 100e3, noon + 900 * test_ms));
 }
 
@@ -521,20 +523,20 @@
             CAPTURE(told);
             CAPTURE(routers);
             auto facts = a_site();
-            facts.ratings_are_links = told;
+            facts.weights_are_link_rates = told;
             facts.routers = routers;
-            facts.parent_cold = warm;
+            facts.parent_cold_period = warm;
             facts.probes = false;
             std::vector<Router> fleet;
             for (int i = 0; i < routers; i++) {
                 fleet.emplace_back(facts, 7919U * static_cast<unsigned>(i) + 1);
                 auto parent = entry(11, 1, 0), peer = entry(12, 1, 0);
-                parent.rating = peer.rating = rating;
-                fleet.back().list({parent, peer}, true, noon - 60 * test_second);
+                parent.weight = peer.weight = rating;
+                fleet.back().update_endpoints({parent, peer}, true, noon - 60 * test_second);
                 auto& seen = *find_server(fleet.back(), 12);  // its part of what a warm one carries
                 for (int k = 0; k < 12; k++)
-                    seen.finished.push_back({noon - (12 - k) * test_second / 4 * routers / 100, work});
-                find_server(fleet.back(), 11)->started = noon;
+                    seen.answered.push_back({noon - (12 - k) * test_second / 4 * routers / 100, work});
+                find_server(fleet.back(), 11)->started_at = noon;
             }
             Random chance{77};
             std::vector<Micros> sent;
@@ -549,7 +551,7 @@
                     auto& r = fleet[static_cast<std::size_t>(i)];
                     auto& server = *find_server(r, 11);
                     if (!within_cold_budget(r, server, work, now)) continue;
-                    server.spent.push_back({now, static_cast<double>(work)});
+                    server.cold_spending.push_back({now, static_cast<double>(work)});
                     sent.push_back(now);
                     auto count =
                         std::count_if(sent.begin(), sent.end(), [&](Micros at) { return now - at < window; });
@@ -558,8 +560,8 @@
                     most_over = std::max(most_over, static_cast<double>(count) - (n + 2 * std::sqrt(n) + 2));
                     if (2 * static_cast<double>(count) > n)
                         continue;  // its link carries no more: a multiple of 2
-                    server.finished.push_back({now, static_cast<double>(work)});
-                    if (server.finished.size() > 64) server.finished.pop_front();
+                    server.answered.push_back({now, static_cast<double>(work)});
+                    if (server.answered.size() > 64) server.answered.pop_front();
                 }
             CHECK(most_over <= 0);
             CHECK(sent.size() > 20);  // it is used, and not left alone until it is warm:
@@ -571,14 +573,14 @@
 // Guards against routers that are killed and started again: each would spend its part of a window twice.
 TEST_CASE("rule 4: a router that has just started takes what its last life may have spent for spent") {
     auto facts = a_site();
-    facts.ratings_are_links = true;
+    facts.weights_are_link_rates = true;
     auto r = router(facts);
     auto& cold = *find_server(r, 1);
-    cold.started = noon - 300 * test_ms;
+    cold.started_at = noon - 300 * test_ms;
     CHECK(within_cold_budget(r, cold, 100e3, noon));
-    r.born = noon;
+    r.first_list_at = noon;
     CHECK_FALSE(within_cold_budget(r, cold, 100e3, noon));
-    cold.spent = {{noon, 300e3}};
+    cold.cold_spending = {{noon, 300e3}};
     CHECK_FALSE(within_cold_budget(r, cold, 100e3, noon + 500 * test_ms));
     CHECK(within_cold_budget(r, cold, 100e3, noon + test_second));
 }
@@ -586,54 +588,54 @@
 // Guards against probes by many routers, which alone would push over a server that has just started.
 TEST_CASE("rule 4: a probe of a cold server is paid for from its budget") {
     auto facts = a_site();
-    facts.ratings_are_links = true;
+    facts.weights_are_link_rates = true;
     auto r = router(facts);
-    r.traffic[0].sizes = Samples(9, {noon, 100e3});
+    r.traffic_types[0].sending_times = Samples(9, {noon, 100e3});
     auto& cold = *find_server(r, 1);
-    r.told_in_answers = true;
-    cold.started = noon - 300 * test_ms;
-    cold.unreached_at = noon - test_ms;
-    CHECK(r.tend(noon).probe == std::vector<CacheId>{1});
-    CHECK(cold.spent.size() == 1);
-    cold.spent = {{noon, 700e3}};
-    cold.last_probe = 0;
-    CHECK(r.tend(noon + 600 * test_ms).probe.empty());
+    r.load_in_responses = true;
+    cold.started_at = noon - 300 * test_ms;
+    cold.unreachable_since = noon - test_ms;
+    CHECK(r.run_maintenance(noon).probe == std::vector<CacheId>{1});
+    CHECK(cold.cold_spending.size() == 1);
+    cold.cold_spending = {{noon, 700e3}};
+    cold.last_probe_at = 0;
+    CHECK(r.run_maintenance(noon + 600 * test_ms).probe.empty());
 }
 
 // What is written when a connection comes up was decided before: each case is a crossing.
 struct Decided {
     Router r = router();
-    Handle handle = r.take(lookup(9), noon);
-    Transmission order = *handle.place(noon).send;
-    bool confirmed(Micros at = noon + 300 * test_ms) { return handle.confirm(0, order, at); }
+    LookupHandle handle = r.add_lookup(lookup(9), noon);
+    AttemptPlan order = *handle.first_attempt(noon).send;
+    bool confirmed(Micros at = noon + 300 * test_ms) { return handle.confirm_send(0, order, at); }
     Server& cache() { return *find_server(r, order.cache); }
-    Server& source() { return *find_server(r, order.source); }
-    void told(Server& server, Listed listed, Micros started = 0) {
+    Server& source() { return *find_server(r, order.upstream); }
+    void told(Server& server, EndpointState listed, Micros started = 0) {
         auto changed = entry(server.id, server.kind, server.zone);
-        changed.listed = listed;
-        changed.started = started;
-        r.list({changed}, false, noon);
+        changed.state = listed;
+        changed.started_at = started;
+        r.update_endpoints({changed}, false, noon);
     }
 };
 
 TEST_CASE("a transmission is confirmed as it was decided, once nothing has changed") {
     Decided one;
     CHECK(one.confirmed());
-    CHECK(one.order.oldest == 0);
+    CHECK(one.order.max_copy_age == 0);
 }
 
 TEST_CASE("rule 1: no transmission is confirmed for a lookup that is over, or out of time") {
     Decided left, late;
-    left.handle.left();
+    left.handle.client_left();
     CHECK_FALSE(left.confirmed());
     CHECK_FALSE(late.confirmed(noon + 4 * test_second));
 }
 
 TEST_CASE(
     "rule 3: no transmission is confirmed to a server that drains or has gone, nor from such a source") {
-    for (auto listed : {Listed::Draining, Listed::Gone}) {
+    for (auto listed : {EndpointState::Draining, EndpointState::Gone}) {
         Decided at, from;
-        REQUIRE(at.order.source != at.order.cache);
+        REQUIRE(at.order.upstream != at.order.cache);
         at.told(at.cache(), listed);
         CHECK_FALSE(at.confirmed());
         from.told(from.source(), listed);
@@ -643,71 +645,71 @@
 
 TEST_CASE("rule 4: no transmission is confirmed to a server that has started since it was decided") {
     Decided at, from;
-    at.told(at.cache(), Listed::Ready, noon);
+    at.told(at.cache(), EndpointState::Ready, noon);
     CHECK_FALSE(at.confirmed());
-    from.told(from.source(), Listed::Ready, noon);
+    from.told(from.source(), EndpointState::Ready, noon);
     CHECK_FALSE(from.confirmed());
 }
 
 TEST_CASE("rule 4: what reaches a cold server late counts from when it does") {
     auto r = router();
-    r.traffic[0].sizes = Samples(9, {noon, 100e3});
-    for (auto& server : r.servers) server.started = noon - 5 * test_second;
-    for (auto& server : r.servers) server.finished = Samples(9, {noon - test_ms, 100e3});
-    auto handle = r.take(lookup(9), noon);
-    auto order = *handle.place(noon).send;
-    REQUIRE(find_server(r, order.cache)->spent.size() == 1);
-    CHECK(handle.confirm(0, order, noon + 300 * test_ms));
-    CHECK(find_server(r, order.cache)->spent[0].at == noon + 300 * test_ms);
-    CHECK(find_server(r, order.source)->spent[0].at == noon + 300 * test_ms);
+    r.traffic_types[0].sending_times = Samples(9, {noon, 100e3});
+    for (auto& server : r.servers) server.started_at = noon - 5 * test_second;
+    for (auto& server : r.servers) server.answered = Samples(9, {noon - test_ms, 100e3});
+    auto handle = r.add_lookup(lookup(9), noon);
+    auto order = *handle.first_attempt(noon).send;
+    REQUIRE(find_server(r, order.cache)->cold_spending.size() == 1);
+    CHECK(handle.confirm_send(0, order, noon + 300 * test_ms));
+    CHECK(find_server(r, order.cache)->cold_spending[0].at == noon + 300 * test_ms);
+    CHECK(find_server(r, order.upstream)->cold_spending[0].at == noon + 300 * test_ms);
 }
 
 TEST_CASE("rule 5: a purge that is told while the connection comes up bounds the age that will do") {
     Decided one;
-    one.r.purged(77, 3, 0, noon + 100 * test_ms);
+    one.r.record_purge(77, 3, 0, noon + 100 * test_ms);
     CHECK(one.confirmed(noon + 300 * test_ms));
-    CHECK(one.order.oldest == 200 * test_ms);
+    CHECK(one.order.max_copy_age == 200 * test_ms);
 }
 
 TEST_CASE("rule 2: a ticket's window is looked at when the next transmission is written") {
     auto facts = a_site();
-    facts.traffic[0].effect = Effect::Ticketed;
-    facts.traffic[0].window = 200 * test_ms;
+    facts.traffic[0].idempotency = Idempotency::Keyed;
+    facts.traffic[0].dedup_window = 200 * test_ms;
     auto r = router(facts);
-    auto handle = r.take(lookup(9), noon);
-    auto first = *handle.place(noon).send;
-    auto next = handle.ended(end(Outcome::Reset, first.cache), noon + 100 * test_ms);
+    auto handle = r.add_lookup(lookup(9), noon);
+    auto first = *handle.first_attempt(noon).send;
+    auto next = handle.attempt_ended(end(Outcome::Reset, first.cache), noon + 100 * test_ms);
     REQUIRE(next.send);
     auto order = *next.send;
-    CHECK(handle.confirm(1, order, noon + 199 * test_ms));
-    CHECK_FALSE(handle.confirm(1, order, noon + 200 * test_ms));
+    CHECK(handle.confirm_send(1, order, noon + 199 * test_ms));
+    CHECK_FALSE(handle.confirm_send(1, order, noon + 200 * test_ms));
 }
 
 TEST_CASE("rule 5: a purge of the object or its group bounds the age that will do") {
     auto r = router();
-    r.purged(0, 3, 40 * test_ms, noon);
-    CHECK(oldest_allowed(r, lookup(1), noon + test_second) == 1040 * test_ms);
-    r.purged(77, 3, 0, noon + test_second);
-    CHECK(oldest_allowed(r, lookup(1), noon + 3 * test_second) == 2 * test_second);
-    CHECK(oldest_allowed(r, lookup(1), noon + 60 * test_second) == 0);
+    r.record_purge(0, 3, 40 * test_ms, noon);
+    CHECK(max_copy_age(r, lookup(1), noon + test_second) == 1040 * test_ms);
+    r.record_purge(77, 3, 0, noon + test_second);
+    CHECK(max_copy_age(r, lookup(1), noon + 3 * test_second) == 2 * test_second);
+    CHECK(max_copy_age(r, lookup(1), noon + 60 * test_second) == 0);
 }
 
 TEST_CASE("silence counts mean gaps beyond the time an answer was due") {
     Server server;
-    server.gaps = {{0, 100e3}, {0, 100e3}, {0, 100e3}, {0, 100e3}};
-    CHECK(silence(server, noon) == 0);
+    server.response_gaps = {{0, 100e3}, {0, 100e3}, {0, 100e3}, {0, 100e3}};
+    CHECK(silence_in_gaps(server, noon) == 0);
     server.in_flight = {{1, 0, 0, noon, 200 * test_ms, 0}};
-    CHECK(silence(server, noon + 100 * test_ms) == 0);
-    CHECK(silence(server, noon + 700 * test_ms) == doctest::Approx(5));
+    CHECK(silence_in_gaps(server, noon + 100 * test_ms) == 0);
+    CHECK(silence_in_gaps(server, noon + 700 * test_ms) == doctest::Approx(5));
 }
 
 TEST_CASE("a cache that fails far more than its peers is passed by, but not for good") {
     auto r = router();
-    Held held;
-    held.facts = lookup(1);
+    PendingLookup held;
+    held.info = lookup(1);
     auto* first = pick_cache(r, held, noon);
-    for (int i = 0; i < 8; i++) first->verdicts.push_back({noon, 1});
-    first->last_trial = noon;
+    for (int i = 0; i < 8; i++) first->failures.push_back({noon, 1});
+    first->last_half_open_probe_at = noon;
     CHECK(pick_cache(r, held, noon + 60 * test_ms) != first);  // peers are compared every 50 ms
     CHECK(pick_cache(r, held, noon + 600 * test_ms) == first);
 }
@@ -715,48 +717,49 @@
 // Guards against the jam of the first incidents: crowded caches kept on taking the largest lookups.
 TEST_CASE("in a crowd the largest lookups are shed and the small ones are not") {
     auto r = router();
-    for (int i = 0; i < 20; i++) r.traffic[0].sizes.push_back({noon, 100e3 + i * 50e3});
-    Held large, small;
-    large.sending = 1000 * test_ms;
-    small.sending = 100 * test_ms;
-    CHECK_FALSE(too_large(r, large, crowd(r, noon), 0.5, 1.0, true));
-    find_server(r, 1)->room = Samples(8, {noon, 0.8});
-    CHECK(too_large(r, large, crowd(r, noon), 0.5, 1.0, true));
-    CHECK_FALSE(too_large(r, small, crowd(r, noon), 0.5, 1.0, true));
+    for (int i = 0; i < 20; i++) r.traffic_types[0].sending_times.push_back({noon, 100e3 + i * 50e3});
+    PendingLookup large, small;
+    large.sending_time = 1000 * test_ms;
+    small.sending_time = 100 * test_ms;
+    CHECK_FALSE(should_shed(r, large, cache_congestion(r, noon), 0.5, 1.0, true));
+    find_server(r, 1)->slack_used = Samples(8, {noon, 0.8});
+    CHECK(should_shed(r, large, cache_congestion(r, noon), 0.5, 1.0, true));
+    CHECK_FALSE(should_shed(r, small, cache_congestion(r, noon), 0.5, 1.0, true));
 }
 
 // Guards against the jam of depot days: fills took seconds at a full link in while hits were quick.
 TEST_CASE("while fills crowd, a large lookup asks a parent for what it holds and is rejected on a miss") {
     auto r = router();
-    for (int i = 0; i < 20; i++) r.traffic[0].sizes.push_back({noon, 100e3 + i * 50e3});
-    r.traffic[0].answered = r.traffic[0].filled = Samples(10, {noon - test_second, 100e3});
-    CHECK(fill_crowd(r, 0, noon) == 0);
+    for (int i = 0; i < 20; i++) r.traffic_types[0].sending_times.push_back({noon, 100e3 + i * 50e3});
+    r.traffic_types[0].answered = r.traffic_types[0].filled = Samples(10, {noon - test_second, 100e3});
+    CHECK(fill_congestion(r, 0, noon) == 0);
     find_server(r, 11)->in_flight =
         std::vector<InFlight>(8, {9, 0, 0, noon - 2 * test_second, 0, 500 * test_ms});
-    CHECK(fill_crowd(r, 0, noon) > 1);
+    CHECK(fill_congestion(r, 0, noon) > 1);
     auto out = find_server(r, 11)->in_flight;
     for (auto& flight : find_server(r, 11)->in_flight) flight.traffic = 1;  // each traffic type for itself
-    CHECK(fill_crowd(r, 0, noon) == 0);
+    CHECK(fill_congestion(r, 0, noon) == 0);
     find_server(r, 11)->in_flight = out;
     auto large = lookup(1);
     large.kbytes = 5000;
-    auto answer = r.take(large, noon).place(noon);
+    auto answer = r.add_lookup(large, noon).first_attempt(noon);
     REQUIRE(answer.send);
-    CHECK(answer.send->held_only);
-    CHECK(find_server(r, answer.send->source)->kind == 1);
-    CHECK(r.find(1)->ended(end(Outcome::Miss, answer.send->cache), noon).final == Final::Rejected);
+    CHECK(answer.send->only_if_cached);
+    CHECK(find_server(r, answer.send->upstream)->kind == 1);
+    CHECK(r.find_lookup(1)->attempt_ended(end(Outcome::Miss, answer.send->cache), noon).final_result ==
+          FinalResult::Rejected);
 }
 
 TEST_CASE("the size of an object that is not told is learned from its quickest answer") {
     auto r = router();
-    r.names[77] = {2, true, 300 * test_ms};
+    r.object_counts[77] = {2, true, 300 * test_ms};
     auto told = lookup(1);
     told.kbytes = 0;
-    auto handle = r.take(told, noon);
-    CHECK(handle.held.sending == 300 * test_ms);
-    handle.place(noon);
-    handle.ended(end(Outcome::Ok, handle.held.rounds[0].cache, Note::Hit), noon);
-    CHECK(r.names[77].sending == 100 * test_ms);
+    auto handle = r.add_lookup(told, noon);
+    CHECK(handle.lookup.sending_time == 300 * test_ms);
+    handle.first_attempt(noon);
+    handle.attempt_ended(end(Outcome::Ok, handle.lookup.attempts[0].cache, CacheStatus::Hit), noon);
+    CHECK(r.object_counts[77].sending_time == 100 * test_ms);
 }
 
 TEST_CASE("one seed gives one result") {
--- a/tests/coordinator_stream.hpp
+++ b/tests/coordinator_stream.hpp
@@ -20,13 +20,13 @@
 inline std::string heartbeat() { return event_frame(0, EventKind::Heartbeat); }
 
 // A cache of kind "std" in zone "east" of config(), on 127.0.0.1.
-inline std::string cache_record(unsigned id, int port, Listed listed) {
+inline std::string cache_record(unsigned id, int port, EndpointState listed) {
     constexpr std::uint64_t east = 1, standard_kind = 0, cell = 0, weight_thousandths = 4000, started_ms = 0;
     std::string out;
     bytes::put_number(out, 4, id);
     bytes::put_number(out, 4, INADDR_LOOPBACK);
     bytes::put_number(out, 2, static_cast<unsigned>(port));
-    bytes::put_number(out, 1, listed == Listed::Ready ? 0 : listed == Listed::Draining ? 1 : 2);
+    bytes::put_number(out, 1, listed == EndpointState::Ready ? 0 : listed == EndpointState::Draining ? 1 : 2);
     bytes::put_number(out, 1, east);
     bytes::put_number(out, 1, standard_kind);
     bytes::put_number(out, 2, cell);
--- a/tests/crossing.hpp
+++ b/tests/crossing.hpp
@@ -12,9 +12,9 @@
         told(list());
     }
     static constexpr CacheId cache_id = 1, parent_id = 11, origin_id = 20;
-    feed::Endpoint endpoint(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+    feed::Endpoint endpoint(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
         bool edge = id == cache_id;
-        ListEntry one{id, listed, 6, edge ? 0 : id == parent_id ? 1 : 2, 7, edge ? 1 : 0, started};
+        EndpointEntry one{id, listed, 6, edge ? 0 : id == parent_id ? 1 : 2, 7, edge ? 1 : 0, started};
         return {one, 0x7f000001, static_cast<std::uint16_t>(edge ? cache.port : 1)};
     }
     feed::Event list() {
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -25,7 +25,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, step = 10 * ms;
 constexpr CacheId servers = 3;
 
-feed::Endpoint server(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint server(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -53,7 +53,7 @@
             who, [&](rig::Partner& one) { one.exchange().listed(listing, one.times(fleet->clock(who))); });
     }
     void drain(Number who, CacheId id, Micros started) {
-        list(who, {false, {server(id, Listed::Draining, started)}});
+        list(who, {false, {server(id, EndpointState::Draining, started)}});
     }
     void go(Micros time) {
         boost::random::uniform_01<double> unit;
--- a/tests/feed_test.cpp
+++ b/tests/feed_test.cpp
@@ -38,11 +38,11 @@
     REQUIRE(listing.caches.size() == 1);
     auto& entry = listing.caches[0].entry;
     CHECK(entry.id == 0x00c41f7a);
-    CHECK(entry.listed == Listed::Draining);
+    CHECK(entry.state == EndpointState::Draining);
     CHECK(entry.zone == 1);
     CHECK(entry.cell == 2);
-    CHECK(entry.rating == 4.5);
-    CHECK(entry.started == 1764576000123000);
+    CHECK(entry.weight == 4.5);
+    CHECK(entry.started_at == 1764576000123000);
     CHECK(listing.caches[0].address == 0x7f000009);
     CHECK(listing.caches[0].port == 5050);
 }
@@ -86,10 +86,10 @@
     CHECK(here.complete);
     CHECK(here.caches[0].address == there.caches[0].address);
     CHECK(here.caches[0].entry.id == there.caches[0].entry.id);
-    CHECK(here.caches[0].entry.listed == there.caches[0].entry.listed);
+    CHECK(here.caches[0].entry.state == there.caches[0].entry.state);
     CHECK(here.caches[0].entry.zone == there.caches[0].entry.zone);
-    CHECK(here.caches[0].entry.rating == there.caches[0].entry.rating);
-    CHECK(here.caches[0].entry.started == there.caches[0].entry.started);
+    CHECK(here.caches[0].entry.weight == there.caches[0].entry.weight);
+    CHECK(here.caches[0].entry.started_at == there.caches[0].entry.started_at);
     CHECK(std::get<PurgeNotice>(known.events[1].what).group == 17);
     CHECK(std::get<PurgeNotice>(known.events[1].what).at == 1764576000123999);
     told["updates"][0]["endpoints"]["servers"][0]["zone"] = "nowhere";
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -44,7 +44,7 @@
     }
     void tell(int router) {
         feed::Endpoint endpoint;
-        endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
+        endpoint.entry = {parent, EndpointState::Ready, 4, 1, 0, 0, started};
         fleet->visit(router, [&](rig::Partner& one) {
             one.exchange().listed({false, {endpoint}}, one.times(fleet->clock(router)));
         });
@@ -77,7 +77,7 @@
     }
     rig::ColdVerdict verdict() const {
         rig::ColdTerms terms;
-        terms.cold = rig::shared_site().parent_cold;
+        terms.cold = rig::shared_site().parent_cold_period;
         return rig::judge(seen, started, fleet->now(), terms, 0);
     }
     bool holds() const {
@@ -244,8 +244,8 @@
 bool deaf_keeps_closed() {
     Facts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, 0};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, 0};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.listed({true, {one, other}}, noon_at);
     facts.hear({About::Server, 1, 0, true, noon_ms}, noon_at);
     facts.pass(0, noon_at);
@@ -255,13 +255,14 @@
 bool next_process_is_open() {
     Facts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, noon_at};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, noon_at};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.listed({true, {one, other}}, noon_at);
     facts.hear({About::Server, 1, noon_ms, true, noon_ms}, noon_at);
     facts.pass(0, noon_at);
-    one.entry.started = noon_at + 3 * second;
-    return facts.listed({true, {one, other}}, noon_at + 4 * second).caches[0].entry.listed == Listed::Ready;
+    one.entry.started_at = noon_at + 3 * second;
+    return facts.listed({true, {one, other}}, noon_at + 4 * second).caches[0].entry.state ==
+           EndpointState::Ready;
 }
 
 bool later_purge_stays() {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -11,20 +11,20 @@
 
 static const std::vector<std::string> figures = {"outstanding", "x1"};
 
-static Transmission order() { return {5, 0xc41f7a, 2, 0, 0, false, false, false}; }
+static AttemptPlan order() { return {5, 0xc41f7a, 2, 0, 0, false, false, false}; }
 
-static std::string text(const Transmission& order, Micros budget = 900'999) {
+static std::string text(const AttemptPlan& order, Micros budget = 900'999) {
     return transmission(lookup(0x9b, 0x7f, 3), order, "page", {"tag", "", ""}).text(budget);
 }
 
 TEST_CASE("a transmission is written as the caches read it") {
     auto full = order();
-    full.join = full.renew = true;
+    full.collapse = full.refresh = true;
     CHECK(text(full) ==
           "GET /data/page/000000000000007f/3 HTTP/1.1\r\nHost: s-00000005\r\nX-Hop-Id: 000000000000009b\r\n"
           "X-Parent: s-00c41f7a\r\nX-Rank: 2\r\nX-Opts: ride+update\r\nX-Have: tag\r\nX-Budget: 900\r\n\r\n");
     auto bare = order();
-    bare.source = bare.cache;
+    bare.upstream = bare.cache;
     bare.rank = 0;
     CHECK(text(bare).find("X-Parent") == std::string::npos);
     CHECK(text(bare).find("X-Rank") == std::string::npos);
@@ -44,9 +44,9 @@
 TEST_CASE("an age under a millisecond is asked for as one, and others are rounded down") {
     auto young = order();
     CHECK(text(young).find("X-Fresh-Ms") == std::string::npos);
-    young.oldest = 400;
+    young.max_copy_age = 400;
     CHECK(text(young).find("X-Fresh-Ms: 1\r\n") != std::string::npos);
-    young.oldest = 2999;
+    young.max_copy_age = 2999;
     CHECK(text(young).find("X-Fresh-Ms: 2\r\n") != std::string::npos);
 }
 
@@ -65,7 +65,7 @@
         REQUIRE(whole);
         auto reply = reader.take();
         CHECK(reply.body == "hello");
-        CHECK(reply.note == Note::Old);
+        CHECK(reply.note == CacheStatus::Stale);
         CHECK(reply.waited == 46300);
         CHECK(reply.load.count == 2);
         CHECK(reply.load.values[0] == 7);
@@ -78,11 +78,11 @@
 TEST_CASE("every remark on how an object was found has its word") {
     const std::array words = {"no such word", "HIT",     "MISS",    "MISS_ORIGIN", "COLLAPSED", "STALE",
                               "UP_BUSY",      "UP_DOWN", "UP_MISS", "NO_FILL",     "ORIGIN_ERR"};
-    for (int note = 0; note <= static_cast<int>(Note::OriginFailed); note++) {
+    for (int note = 0; note <= static_cast<int>(CacheStatus::OriginError); note++) {
         ReplyReader reader(figures);
         CHECK(reader.add("HTTP/1.1 404 No\r\nContent-Length: 0\r\nX-Tell: " + std::string(words[note]) +
                          "\r\n\r\n"));
-        CHECK(reader.take().note == static_cast<Note>(note));
+        CHECK(reader.take().note == static_cast<CacheStatus>(note));
     }
 }
 
@@ -120,8 +120,8 @@
     CHECK(outcome_of(reply(304)) == Outcome::Ok);
     CHECK(outcome_of(reply(404)) == Outcome::Miss);
     CHECK(outcome_of(reply(500)) == Outcome::Error);
-    CHECK(outcome_of(reply(503, "", true)) == Outcome::Full);
+    CHECK(outcome_of(reply(503, "", true)) == Outcome::Overloaded);
     CHECK(outcome_of(reply(503)) == Outcome::Error);
-    CHECK(outcome_of(reply(504, "", true)) == Outcome::Moot);
+    CHECK(outcome_of(reply(504, "", true)) == Outcome::NotSent);
     CHECK(outcome_of(reply(504)) == Outcome::Error);
 }
--- a/tests/late_connection_test.cpp
+++ b/tests/late_connection_test.cpp
@@ -37,18 +37,19 @@
 
 TEST_CASE("nothing is written to a cache that drains by now, and the client is answered") {
     nothing_is_written([](Crossing& one) {
-        one.told(Crossing::change(one.endpoint(Crossing::cache_id, Listed::Draining)));
+        one.told(Crossing::change(one.endpoint(Crossing::cache_id, EndpointState::Draining)));
     });
 }
 
 TEST_CASE("nothing is written to a cache that has gone, even where its place is taken already") {
-    nothing_is_written(
-        [](Crossing& one) { one.told(Crossing::change(one.endpoint(Crossing::cache_id, Listed::Gone))); });
+    nothing_is_written([](Crossing& one) {
+        one.told(Crossing::change(one.endpoint(Crossing::cache_id, EndpointState::Gone)));
+    });
     // The same address under the same id is another process all the same.
     nothing_is_written([](Crossing& one) {
         auto again = one.endpoint(Crossing::cache_id);
-        one.told(Crossing::change(one.endpoint(Crossing::cache_id, Listed::Gone)));
-        again.entry.listed = Listed::Draining;
+        one.told(Crossing::change(one.endpoint(Crossing::cache_id, EndpointState::Gone)));
+        again.entry.state = EndpointState::Draining;
         one.told(Crossing::change(again));
     });
 }
@@ -70,13 +71,13 @@
 
 TEST_CASE("nothing is written that names a source which drains by now") {
     nothing_is_written([](Crossing& one) {
-        one.told(Crossing::change(one.endpoint(Crossing::parent_id, Listed::Draining)));
-        one.told(
-            Crossing::change(one.endpoint(Crossing::cache_id, Listed::Draining)));  // nor by a further try
+        one.told(Crossing::change(one.endpoint(Crossing::parent_id, EndpointState::Draining)));
+        one.told(Crossing::change(
+            one.endpoint(Crossing::cache_id, EndpointState::Draining)));  // nor by a further try
     });
     Crossing one;
     one.opened();
-    one.told(Crossing::change(one.endpoint(Crossing::parent_id, Listed::Draining)));
+    one.told(Crossing::change(one.endpoint(Crossing::parent_id, EndpointState::Draining)));
     one.steps([&] { return Quiet::readable(one.cache); });
     auto link = accept(one.cache);
     one.steps([&] { return Quiet::readable(link); });
@@ -86,7 +87,7 @@
 TEST_CASE("nothing is written on a connection to a process that has been started again since") {
     Crossing one;
     one.opened();
-    one.told(Crossing::change(one.endpoint(Crossing::cache_id, Listed::Ready, one.clock.now())));
+    one.told(Crossing::change(one.endpoint(Crossing::cache_id, EndpointState::Ready, one.clock.now())));
     auto link = accept(one.cache);
     for (int i = 0; i < 5; i++) one.step();
     CHECK(Crossing::asked_nothing(link));
@@ -100,7 +101,7 @@
         one.turn.tend(one.clock.now());
         one.act();
         one.pump([&] { return one.pool.to_write() == 1; });
-        if (drains) one.told(Crossing::change(one.endpoint(Crossing::cache_id, Listed::Draining)));
+        if (drains) one.told(Crossing::change(one.endpoint(Crossing::cache_id, EndpointState::Draining)));
         auto link = accept(one.cache);
         for (int i = 0; i < 5; i++) one.step();
         CHECK(Crossing::asked_nothing(link) == drains);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -10,7 +10,7 @@
     quiet.send(0, test_second);
     quiet.pump([&] { return !quiet.gathered.empty(); });
     REQUIRE(quiet.gathered_of<Landed>().size() == 1);
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Unconnected);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::ConnectFailed);
     quiet.pool.sweep();
     CHECK(quiet.pool.links() == 0);
 }
@@ -28,7 +28,7 @@
     CHECK(quiet.pool.links() == 0);
     auto gone = std::get<feed::Listing>(Quiet::caches({2}).what);
     gone.complete = false;
-    gone.caches[0].entry.listed = Listed::Gone;
+    gone.caches[0].entry.state = EndpointState::Gone;
     quiet.pool.list(gone);
     CHECK(quiet.pool.caches() == 0);
 }
@@ -41,9 +41,9 @@
     auto old = quiet.asked(before);
     auto gone = std::get<feed::Listing>(Quiet::caches({1}).what);
     gone.complete = false;
-    gone.caches[0].entry.listed = Listed::Gone;
+    gone.caches[0].entry.state = EndpointState::Gone;
     quiet.pool.list(gone);
-    gone.caches[0].entry.listed = Listed::Ready;
+    gone.caches[0].entry.state = EndpointState::Ready;
     gone.caches[0].port = static_cast<std::uint16_t>(after.port);
     quiet.pool.list(gone);
     REQUIRE(old.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"));
@@ -61,7 +61,7 @@
     CHECK(quiet.pool.links() == 2);
     REQUIRE(quiet.gathered_of<Landed>().size() == 1);
     CHECK(quiet.gathered_of<Landed>()[0].round == 2);
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Moot);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::NotSent);
 }
 
 TEST_CASE("a transmission given up before it was written never ran") {
@@ -70,7 +70,7 @@
     quiet.send(0, test_second);
     quiet.pool.give_up(9, 0);
     REQUIRE(quiet.gathered_of<Landed>().size() == 1);
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Moot);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::NotSent);
     quiet.pool.give_up(9, 0);  // once is enough
     CHECK(quiet.gathered_of<Landed>().size() == 1);
 }
@@ -114,9 +114,9 @@
         filling.back().connect(cache.port);
     }
     quiet.send(cache.port, 0);
-    CHECK(quiet.landed().outcome == Outcome::Unconnected);
+    CHECK(quiet.landed().outcome == Outcome::ConnectFailed);
     quiet.send(cache.port, 1, 10 * test_ms);
-    CHECK(quiet.landed().outcome == Outcome::Moot);
+    CHECK(quiet.landed().outcome == Outcome::NotSent);
 }
 
 TEST_CASE("giving a transmission up closes its connection, and it may have run") {
--- a/tests/quiet.hpp
+++ b/tests/quiet.hpp
@@ -21,13 +21,14 @@
     }
     static feed::Event caches(const std::vector<CacheId>& ids) {
         feed::Listing listing{.complete = true, .caches = {}};
-        for (auto id : ids) listing.caches.push_back({{id, Listed::Ready, 6, 0, 7, 1, 0}, 0x7f000001, 1});
+        for (auto id : ids)
+            listing.caches.push_back({{id, EndpointState::Ready, 6, 0, 7, 1, 0}, 0x7f000001, 1});
         return {1, listing};
     }
     static Arrived arrived(LookupId id, std::int32_t seq = 1) {
         thrift::Lookup wanted;
         wanted.facts = lookup(id);
-        wanted.facts.due = 0;
+        wanted.facts.deadline = 0;
         wanted.wait = 4 * test_second;
         return {{1, seq}, wanted, noon};
     }
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -34,7 +34,9 @@
     CHECK(frame(from) == thrift::pong(seq, true));
 }
 
-std::string drain_of(const Listener& cache) { return cache_record(cache_id, cache.port, Listed::Draining); }
+std::string drain_of(const Listener& cache) {
+    return cache_record(cache_id, cache.port, EndpointState::Draining);
+}
 
 // The program with its watch open, on which nothing has come so far: the program says that it is connected
 // once it has taken the first event.
@@ -106,7 +108,8 @@
     REQUIRE(later.connect(one.port));
     one.not_sent_on(later, 1, "00000000000000a1");
     // What the silent one says late, to a reader that has gone, brings nothing back.
-    auto late = event_frame(3, EventKind::ListChange, cache_record(cache_id, one.cache.port, Listed::Ready));
+    auto late =
+        event_frame(3, EventKind::ListChange, cache_record(cache_id, one.cache.port, EndpointState::Ready));
     send_late(one.watch, late);
     sync(later, 2);
     one.not_sent_on(later, 3, "00000000000000a3");
@@ -201,7 +204,7 @@
     request(order);
     Listener other;
     REQUIRE(one.watch.send(
-        event_frame(2, EventKind::WholeList, cache_record(other_id, other.port, Listed::Ready))));
+        event_frame(2, EventKind::WholeList, cache_record(other_id, other.port, EndpointState::Ready))));
     auto moved = accept(other);
     CHECK(request(moved).find("X-Hop-Id: 00000000000000a1\r\n") != std::string::npos);
     moved.send(answer("200 OK", "moved"));
--- a/tests/resting_link_test.cpp
+++ b/tests/resting_link_test.cpp
@@ -57,7 +57,7 @@
     auto link = accept(cache);
     REQUIRE(link.send(answer_of("unasked")));
     quiet.pump([&] { return !quiet.gathered_of<Landed>().empty(); });
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Moot);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::NotSent);
     quiet.write();
     quiet.pool.sweep();
     CHECK(quiet.pool.links() == 0);
@@ -71,7 +71,7 @@
     quiet.pump([&] { return quiet.pool.to_write() == 1; });
     { auto link = accept(cache); }
     quiet.pump([&] { return !quiet.gathered_of<Landed>().empty(); });
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Unconnected);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::ConnectFailed);
 }
 
 TEST_CASE("a connection whose attempt was refused at the last moment stays for the next") {
@@ -81,7 +81,7 @@
     quiet.send(cache.port, 0);
     quiet.pump([&] { return quiet.pool.to_write() == 1; });
     quiet.pool.write([](CacheId, const Attempt&) { return Pool::Word{}; });
-    CHECK(quiet.landed().outcome == Outcome::Moot);
+    CHECK(quiet.landed().outcome == Outcome::NotSent);
     CHECK(quiet.pool.links() == 1);
     auto link = accept(cache);
     quiet.rest();
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -29,15 +29,15 @@
     return loader.result();
 }
 
-feed::Endpoint live_box(CacheId id, int cell, Listed listed = Listed::Ready) {
+feed::Endpoint live_box(CacheId id, int cell, EndpointState listed = EndpointState::Ready) {
     return {{id, listed, 6, 0, cell, 1, 0}, 1, 1};
 }
 
-LookupFacts narrowed(route::Live& live, LookupId id, ObjectId object = 77) {
+LookupInfo narrowed(route::Live& live, LookupId id, ObjectId object = 77) {
     auto facts = lookup(id, object);
     route::Told told;
     told.object = object;
-    told.remaining = facts.due - noon;
+    told.remaining = facts.deadline - noon;
     live.narrow(told, facts, noon);
     return facts;
 }
@@ -50,20 +50,20 @@
     std::weak_ptr<const route::RuleSet> watched = first;
     live.list({true, {live_box(1, 1), live_box(2, 2)}});
     live.put_in_force(std::move(first));
-    auto facts = std::make_unique<LookupFacts>(narrowed(live, 1));
-    CHECK(*facts->among == std::vector<CacheId>{1});
+    auto facts = std::make_unique<LookupInfo>(narrowed(live, 1));
+    CHECK(*facts->allowed_caches == std::vector<CacheId>{1});
     live.put_in_force(loaded("pool a = box.cell == 2; rule x: pool a;", live.site));
-    CHECK(*facts->among == std::vector<CacheId>{1});
-    CHECK(*narrowed(live, 2).among == std::vector<CacheId>{2});
+    CHECK(*facts->allowed_caches == std::vector<CacheId>{1});
+    CHECK(*narrowed(live, 2).allowed_caches == std::vector<CacheId>{2});
     CHECK(live.sets() == 2);
     live.list({false, {live_box(3, 1)}});
-    CHECK(*facts->among == std::vector<CacheId>{1, 3});  // its pool is that of now
+    CHECK(*facts->allowed_caches == std::vector<CacheId>{1, 3});  // its pool is that of now
     facts.reset();
     CHECK(live.sets() == 1);
     CHECK(watched.expired());
     live.put_in_force(nullptr);
     CHECK(!live.on());
-    CHECK(narrowed(live, 3).among == nullptr);
+    CHECK(narrowed(live, 3).allowed_caches == nullptr);
 }
 
 TEST_CASE("two sets swapped a hundred thousand times with lookups under way: nothing is kept") {
@@ -71,11 +71,11 @@
     live.list({true, {live_box(1, 1), live_box(2, 2)}});
     auto a = loaded("pool a = box.cell == 1; rule x: pool a;", live.site);
     auto b = loaded("pool b = box.cell == 2; rule x: pool b;", live.site);
-    std::vector<LookupFacts> under_way;
+    std::vector<LookupInfo> under_way;
     for (int i = 0; i < 100'000; i++) {
         live.put_in_force(i % 2 ? a : b);
         under_way.push_back(narrowed(live, static_cast<LookupId>(i)));
-        REQUIRE(under_way.back().among->front() == (i % 2 ? 1U : 2U));
+        REQUIRE(under_way.back().allowed_caches->front() == (i % 2 ? 1U : 2U));
         if (under_way.size() > 8) under_way.erase(under_way.begin());
         REQUIRE(live.sets() <= 10);
     }
@@ -91,13 +91,13 @@
         loaded("pool b = box.cell == 2; pool a = box.cell == 1 else b; rule x: pool a;", live.site));
     auto router = quillgrade::router();
     auto facts = narrowed(live, 5);
-    auto handle = router.take(facts, noon);
-    REQUIRE(handle.place(noon).send->cache == 1);
-    live.list({false, {live_box(1, 1, Listed::Draining)}});
+    auto handle = router.add_lookup(facts, noon);
+    REQUIRE(handle.first_attempt(noon).send->cache == 1);
+    live.list({false, {live_box(1, 1, EndpointState::Draining)}});
     auto drained = entry(1);
-    drained.listed = Listed::Draining;
-    router.list({drained}, false, noon);
-    auto answer = handle.ended(end(Outcome::Reset, 1), noon + test_ms);
+    drained.state = EndpointState::Draining;
+    router.update_endpoints({drained}, false, noon);
+    auto answer = handle.attempt_ended(end(Outcome::Reset, 1), noon + test_ms);
     REQUIRE(answer.send);
     CHECK(answer.send->cache == 2);
 }
@@ -107,38 +107,38 @@
     for (ObjectId object = 1; object < 50; object++) {
         auto router = quillgrade::router();
         auto facts = lookup(9, object);
-        facts.among = one;
-        CHECK(router.take(facts, noon).place(noon).send->cache == 3);
+        facts.allowed_caches = one;
+        CHECK(router.add_lookup(facts, noon).first_attempt(noon).send->cache == 3);
     }
     auto router = quillgrade::router();
     auto facts = lookup(9);
-    facts.most_transmissions = 2;
-    auto handle = router.take(facts, noon);
-    auto first = handle.place(noon).send;
+    facts.max_attempts = 2;
+    auto handle = router.add_lookup(facts, noon);
+    auto first = handle.first_attempt(noon).send;
     REQUIRE(first);
-    auto second = handle.ended(end(Outcome::Reset, first->cache), noon + test_ms).send;
+    auto second = handle.attempt_ended(end(Outcome::Reset, first->cache), noon + test_ms).send;
     REQUIRE(second);
-    CHECK(handle.ended(end(Outcome::Reset, second->cache, Note::None, 1), noon + 2 * test_ms).final ==
-          Final::Rejected);
-    facts.most_transmissions = 100;  // the site's bound holds all the same
-    auto& held = router.take(facts, noon).held;
-    held.rounds.resize(6);
-    for (auto& round : held.rounds) round.out = false;
-    CHECK(!may_send(router, held, *find_server(router, 1), noon));
-    facts.no_copies = true;
-    CHECK(!may_copy(router, router.take(facts, noon).held));
+    CHECK(handle.attempt_ended(end(Outcome::Reset, second->cache, CacheStatus::None, 1), noon + 2 * test_ms)
+              .final_result == FinalResult::Rejected);
+    facts.max_attempts = 100;  // the site's bound holds all the same
+    auto& held = router.add_lookup(facts, noon).lookup;
+    held.attempts.resize(6);
+    for (auto& round : held.attempts) round.in_flight = false;
+    CHECK(!may_attempt(router, held, *find_server(router, 1), noon));
+    facts.no_hedging = true;
+    CHECK(!may_hedge(router, router.add_lookup(facts, noon).lookup));
 }
 
 // Guards against a copy from before a purge: the purge names the wire's object, the copy is kept under a key.
 TEST_CASE("a purge of the wire's object reaches every key made of it") {
     auto router = quillgrade::router();
-    router.purged(77, 0, 0, noon);
+    router.record_purge(77, 0, 0, noon);
     for (ObjectId key : {1001, 1002}) {
         auto facts = lookup(9, key);
         facts.wire_object = 77;
-        CHECK(oldest_allowed(router, facts, noon + 500 * test_ms) == 500 * test_ms);
+        CHECK(max_copy_age(router, facts, noon + 500 * test_ms) == 500 * test_ms);
         facts.wire_object = 78;
-        CHECK(oldest_allowed(router, facts, noon + 500 * test_ms) == 0);
+        CHECK(max_copy_age(router, facts, noon + 500 * test_ms) == 0);
     }
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -19,7 +19,7 @@
     site.zones = {"central", "east"};
     site.kinds = {"small", "large"};
     site.types = {pages(), pages(), pages()};
-    site.types[2].effect = Effect::Exclusive;
+    site.types[2].idempotency = Idempotency::NonIdempotent;
     site.transmissions = 6;
     return site;
 }
@@ -323,16 +323,17 @@
         "pool large = box.kind == \"large\";"
         "pool cells = box.cell in {1, 2} and box.weight >= 2000 else large;"
         "pool one = box.id == \"s-00000009\" else cells;");
-    auto box = [](CacheId id, int cell, int kind, double weight, Listed listed = Listed::Ready) {
+    auto box = [](CacheId id, int cell, int kind, double weight,
+                  EndpointState listed = EndpointState::Ready) {
         return feed::Endpoint{{id, listed, weight, kind, cell, 1, 0}, 1, 1};
     };
     auto members = set->members({box(3, 1, 0, 4), box(2, 2, 0, 4), box(5, 1, 0, 1), box(7, 9, 1, 4)}, here);
     CHECK(members[0] == std::vector<CacheId>{7});
     CHECK(members[1] == std::vector<CacheId>{2, 3});
     CHECK(members[2] == std::vector<CacheId>{2, 3});  // falls back
-    members = set->members({box(3, 1, 0, 4, Listed::Draining), box(7, 9, 1, 4)}, here);
+    members = set->members({box(3, 1, 0, 4, EndpointState::Draining), box(7, 9, 1, 4)}, here);
     CHECK(members[2] == std::vector<CacheId>{7});  // twice
-    members = set->members({box(3, 1, 0, 4, Listed::Draining)}, here);
+    members = set->members({box(3, 1, 0, 4, EndpointState::Draining)}, here);
     CHECK(members[2].empty());  // and in the end every box
 }
 
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -20,7 +20,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
 constexpr std::uint64_t noon_ms = noon_at / ms;
 
-feed::Endpoint box(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint box(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -100,11 +100,11 @@
     auto changes = facts.pass(0, noon_at);
     REQUIRE(changes.listing.caches.size() == 1);
     CHECK(changes.listing.caches[0].entry.id == 1);
-    CHECK(changes.listing.caches[0].entry.listed == Listed::Draining);
+    CHECK(changes.listing.caches[0].entry.state == EndpointState::Draining);
     CHECK(!changes.listing.complete);
     CHECK(facts.pass(0, noon_at).listing.caches.empty());  // told once
     // A list that has it ready still is narrowed too.
-    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Draining);
+    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.state == EndpointState::Draining);
 }
 
 TEST_CASE("a fact about a server that no list names adds none") {
@@ -113,7 +113,7 @@
     facts.hear({About::Server, 9, 0, true, noon_ms}, noon_at);
     CHECK(facts.pass(0, noon_at).listing.caches.empty());
     // It overtook the list: once the list has it, it counts.
-    CHECK(facts.listed(listing({box(9)}), noon_at + second).caches[0].entry.listed == Listed::Draining);
+    CHECK(facts.listed(listing({box(9)}), noon_at + second).caches[0].entry.state == EndpointState::Draining);
 }
 
 TEST_CASE("who hears its coordinator goes by its own list again after a while, who doesn't never") {
@@ -141,19 +141,19 @@
 
 TEST_CASE("what was heard of a server's process is nothing against its next") {
     auto facts = some_facts();
-    facts.listed(listing({box(1, Listed::Ready, noon_at), box(2)}, true), noon_at);
+    facts.listed(listing({box(1, EndpointState::Ready, noon_at), box(2)}, true), noon_at);
     facts.hear({About::Server, 1, noon_ms, true, noon_ms}, noon_at);
     CHECK(facts.pass(0, noon_at).closed == 1);
-    auto next =
-        facts.listed(listing({box(1, Listed::Ready, noon_at + second), box(2)}, true), noon_at + 2 * second);
-    CHECK(next.caches[0].entry.listed == Listed::Ready);
+    auto next = facts.listed(listing({box(1, EndpointState::Ready, noon_at + second), box(2)}, true),
+                             noon_at + 2 * second);
+    CHECK(next.caches[0].entry.state == EndpointState::Ready);
     CHECK(facts.pass(0, noon_at + 2 * second).reopened == std::vector<CacheId>{1});
 }
 
 TEST_CASE("a drain that the own coordinator takes back is open at once") {
     auto facts = some_facts();
-    facts.listed(listing({box(1, Listed::Draining), box(2)}, true), noon_at);
-    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Ready);
+    facts.listed(listing({box(1, EndpointState::Draining), box(2)}, true), noon_at);
+    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.state == EndpointState::Ready);
     CHECK(facts.pass(noon_at, noon_at + second).listing.caches.empty());
 }
 
@@ -460,7 +460,7 @@
     health_reports.hear(2, 1, 1, {4, 1}, slow, noon_at);
     auto fresh = health_reports.weigh(5, 0, noon_at);
     CHECK(fresh.samples == 6);
-    CHECK(fresh.slow == 6.0);
+    CHECK(fresh.slowdown == 6.0);
     auto later = health_reports.weigh(5, 0, noon_at + HealthReports::half_life);
     CHECK(later.samples == doctest::Approx(3));
     CHECK(health_reports.weigh(5, 0, noon_at + HealthReports::life).samples == 0);
@@ -495,33 +495,33 @@
     health_reports.hear(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_at);
     health_reports.hear(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_at);
     health_reports.hear(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_at);
-    CHECK(health_reports.weigh(5, 0, noon_at).slow == 3.2);
+    CHECK(health_reports.weigh(5, 0, noon_at).slowdown == 3.2);
 }
 
 TEST_CASE("hearsay speaks only where own samples are few, and own samples beat it") {
     auto module = router();
     auto* server = find_server(module, 1);
-    server->hearsay = {8, 0.9, 0};
-    CHECK(std::string(complaint(module, *server, noon)) == "failing, by hearsay");
-    server->judged_at = 0;
-    server->hearsay = {8, 0, 4};
-    CHECK(std::string(complaint(module, *server, noon)) == "slow, by hearsay");
-    server->judged_at = 0;
-    for (int i = 0; i < 8; i++) server->verdicts.push_back({noon, 0});
-    CHECK(complaint(module, *server, noon) == nullptr);
-    server->judged_at = 0;
-    server->verdicts.clear();
-    server->hearsay = {5, 1, 9};  // too few
-    CHECK(complaint(module, *server, noon) == nullptr);
+    server->peer_report = {8, 0.9, 0};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "failing, by hearsay");
+    server->evaluated_at = 0;
+    server->peer_report = {8, 0, 4};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "slow, by hearsay");
+    server->evaluated_at = 0;
+    for (int i = 0; i < 8; i++) server->failures.push_back({noon, 0});
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
+    server->evaluated_at = 0;
+    server->failures.clear();
+    server->peer_report = {5, 1, 9};  // too few
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
 }
 
 TEST_CASE("a location's last path stays, whatever others say") {
     auto module = router();
-    for (CacheId id : {1, 2, 3}) find_server(module, id)->hearsay = {20, 1, 20};
-    for (auto& server : module.servers) server.last_trial = noon;
-    auto handle = module.take(lookup(1), noon);
-    auto answer = handle.place(noon + 1);
-    CHECK(answer.final == Final::None);
+    for (CacheId id : {1, 2, 3}) find_server(module, id)->peer_report = {20, 1, 20};
+    for (auto& server : module.servers) server.last_half_open_probe_at = noon;
+    auto handle = module.add_lookup(lookup(1), noon);
+    auto answer = handle.first_attempt(noon + 1);
+    CHECK(answer.final_result == FinalResult::None);
     CHECK(answer.send);
 }
 
@@ -530,17 +530,17 @@
     for (CacheId id : {1, 2, 3})
         for (int i = 0; i < 2; i++) {
             find_server(module, id)->slowness.push_back({noon, id == 2 ? 9.0 : 1.2});
-            find_server(module, id)->verdicts.push_back({noon, 0});
+            find_server(module, id)->failures.push_back({noon, 0});
         }
-    auto told = module.witnessed(noon);
+    auto told = module.health_reports(noon);
     REQUIRE(told.size() == 1);
     CHECK(told[0].server == 2);
-    CHECK(told[0].slow == doctest::Approx(7.5));
-    CHECK(module.measured(noon) == 3);
+    CHECK(told[0].slowdown == doctest::Approx(7.5));
+    CHECK(module.measured_servers(noon) == 3);
     // What all share is no complaint.
     for (CacheId id : {1, 3})
         for (auto& sample : find_server(module, id)->slowness) sample.value = 9;
-    CHECK(module.witnessed(noon).empty());
+    CHECK(module.health_reports(noon).empty());
 }
 
 // ---- counts
@@ -609,7 +609,7 @@
     double last = module.p();
     CHECK(last == 0.5);
     for (int heard = 2; heard <= 40; heard++) {
-        module.heard = heard;
+        module.counting_routers = heard;
         CHECK(module.p() >= last);
         CHECK(module.p() - last <= 0.5);
         last = module.p();
@@ -710,14 +710,14 @@
     terms.now = {noon_at, 1000 * second};
     Exchange exchange(membership, terms);
     feed::Endpoint parent;
-    parent.entry = {101, Listed::Ready, 4, terms.site.parent_kind, 0, 0, noon_at};
+    parent.entry = {101, EndpointState::Ready, 4, terms.site.parent_kind, 0, 0, noon_at};
     auto at = [&](Micros age) { return Times{noon_at + age, 1000 * second + age}; };
     auto is_shared = [&](Micros age) {
         exchange.pass(1, at(age));
         return exchange.right(101, at(age)) >= 0;
     };
     exchange.listed(listing({parent}), at(0));
-    const auto cold = terms.site.parent_cold;
+    const auto cold = terms.site.parent_cold_period;
     CHECK(exchange.parent_cold() == cold + ahead);
     CHECK(is_shared(cold - ms));
     CHECK(is_shared(cold + ahead - ms));
@@ -738,11 +738,11 @@
         peers::Membership membership(start);
         Terms terms;
         terms.site = rig::shared_site();
-        terms.site.ratings_are_links = links;
+        terms.site.weights_are_link_rates = links;
         terms.parts.quotas = !links;
         terms.now = {noon_at, 1000 * second};
         Exchange exchange(membership, terms);
-        CHECK(exchange.parent_cold() == terms.site.parent_cold);
+        CHECK(exchange.parent_cold() == terms.site.parent_cold_period);
     }
 }
 
@@ -751,15 +751,15 @@
 TEST_CASE("a cold server gets what the right allows, used up by what is sent") {
     auto module = router();
     auto entry_of = entry(11, 1, 0);
-    entry_of.started = noon;
-    module.list({entry_of}, false, noon);
+    entry_of.started_at = noon;
+    module.update_endpoints({entry_of}, false, noon);
     auto* parent = find_server(module, 11);
-    parent->right = 250 * test_ms;
+    parent->quota = 250 * test_ms;
     double work = 100 * test_ms;
     CHECK(within_cold_budget(module, *parent, work, noon + 1));
-    CHECK(parent->wanted == work);
-    parent->right = 99 * test_ms;
+    CHECK(parent->quota_demand == work);
+    parent->quota = 99 * test_ms;
     CHECK(!within_cold_budget(module, *parent, work, noon + 1));
-    parent->right = -1;  // not shared: its own part of the whole
+    parent->quota = -1;  // not shared: its own part of the whole
     CHECK(!within_cold_budget(module, *parent, 1000 * work, noon + 1));
 }
--- a/tests/thrift_test.cpp
+++ b/tests/thrift_test.cpp
@@ -23,7 +23,7 @@
     CHECK(lookup.facts.part == 3);
     CHECK(lookup.facts.group == 17);
     CHECK(lookup.facts.kbytes == 412.5);
-    CHECK(lookup.facts.repeat);
+    CHECK(lookup.facts.retry);
     CHECK(lookup.wait == 1'500'000);
     CHECK(lookup.have == "4be0c1927d55a6f3");
     CHECK(lookup.ticket == "eec5e7df63a26aa47333dbfbd4842ece");
--- a/tests/turn_test.cpp
+++ b/tests/turn_test.cpp
@@ -52,7 +52,7 @@
     quiet.turn.take({Quiet::caches({1, 2, 3}), Quiet::arrived(9, 1), Left{{1, 1}, 9}}, noon);
     CHECK(quiet.pool.links() == 0);
     REQUIRE(quiet.gathered_of<Landed>().size() == 1);
-    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::Moot);
+    CHECK(quiet.gathered_of<Landed>()[0].outcome == Outcome::NotSent);
 }
 
 // Guards against telling a client without a copy that its copy holds.
