--- a/src/control.cpp
+++ b/src/control.cpp
@@ -764,8 +764,8 @@
                                            fills_crowded, fills_jammed, false);
     Server* cache = pick_cache(router, lookup, now);
     if (!cache && router.direct && !lookup.no_upstream &&
-        !lookups.held_only) {  // straight to the source, shed like a fill
-        CacheId source = pick_upstream(router, lookups, now);
+        !lookup.only_if_cached) {  // straight to the source, shed like a fill
+        CacheId source = pick_upstream(router, lookup, now);
         cache = source ? find_server(router, source) : nullptr;
     }
     if (!cache) return give_up(router, lookup, now);
