--- a/src/control.cpp
+++ b/src/control.cpp
@@ -27,28 +27,25 @@
 constexpr Micros sample_lifetime = 5 * second, first_byte_lifetime = 20 * second,
                  load_report_lifetime = 2 * second;
 
-// Outlier ejection.
-// In mean response gaps; one in 3,000 exponentially distributed gaps is longer.
+// Outlier ejection. A silence is in mean response gaps: one in 3,000 exponentially distributed gaps is longer
+// than the limit. The ratio to peers is of failure shares and of slowness, the speed-up one of first-byte
+// times.
 constexpr double max_silence = 8;
 constexpr Micros min_mean_gap = 30 * ms, default_mean_gap = 200 * ms;
-constexpr double max_failure_share = 0.3, max_ratio_to_peers = 2.5;  // of failure shares, and of slowness
-constexpr double lookups_per_half_open_probe = 20,
-                 clear_speedup = 1.5,  // ratio of first-byte times
-    min_in_flight_limit = 6;           // attempts
-constexpr Micros half_open_probe_interval = 500 * ms, peer_comparison_interval = 50 * ms,
-                 fill_wait =
-                     second;  // an attempt that takes longer than this and its sending time waits for a fill
-
-// Overload protection.
-constexpr double cold_budget_margin = 0.6,  // allows for errors of other routers
-    default_link_rate = 2;                  // sending time per time, where neither weight nor samples tell it
+constexpr double max_failure_share = 0.3, max_ratio_to_peers = 2.5;
+constexpr double lookups_per_half_open_probe = 20, clear_speedup = 1.5, min_in_flight_limit = 6;
+// An attempt in flight for longer than its sending time and fill_wait waits for a fill.
+constexpr Micros half_open_probe_interval = 500 * ms, peer_comparison_interval = 50 * ms, fill_wait = second;
+
+// Overload protection. The margin allows for errors of other routers. The default link rate, in sending time
+// per time, is for servers whose rate neither weights nor samples tell.
+constexpr double cold_budget_margin = 0.6, default_link_rate = 2;
 constexpr double retry_credit_per_answer = 0.15, max_retry_credit = 20, hedge_quantile = 0.95;
 // Shares of the slack between sending time and latency goal: where shedding starts, and where nearly all
-// large lookups are shed.
+// large lookups are shed. For the link: transfers over those that it carries at full rate.
 constexpr double cache_shed_start = 0.2, cache_shed_end = 1.0;
 constexpr double fill_shed_start = 0.1, fill_shed_end = 0.8, usual_fill_slack = 0.7, failed_fill_slack = 1.5;
-constexpr double link_shed_start = 1,
-                 link_shed_end = 4;  // transfers over those that the link carries at full rate
+constexpr double link_shed_start = 1, link_shed_end = 4;
 constexpr Micros check_interval = 100 * ms, maintenance_interval = 100 * ms, link_report_interval = 500 * ms;
 
 void add_sample(Samples& samples, Micros at, double value, std::size_t max_samples = short_history,
@@ -103,16 +100,16 @@
 
 std::vector<Server*> rendezvous_order(Router& router, ObjectId object,
                                       bool (*role)(const Router&, const Server&)) {
-    std::vector<std::pair<double, Server*>> drawn;
+    std::vector<std::pair<double, Server*>> scored;
     for (auto& server : router.servers)
         if (server.state == EndpointState::Ready && role(router, server))
-            drawn.emplace_back(rendezvous_score(object, server, router.weights_are_link_rates), &server);
-    std::sort(drawn.begin(), drawn.end(), [](auto& a, auto& b) {
+            scored.emplace_back(rendezvous_score(object, server, router.weights_are_link_rates), &server);
+    std::sort(scored.begin(), scored.end(), [](auto& a, auto& b) {
         return a.first != b.first ? a.first > b.first : a.second->id < b.second->id;
     });
     std::vector<Server*> order;
-    order.reserve(drawn.size());
-    for (auto& entry : drawn) order.push_back(entry.second);
+    order.reserve(scored.size());
+    for (auto& entry : scored) order.push_back(entry.second);
     return order;
 }
 
@@ -375,9 +372,8 @@
         server->zone = entry.zone;
         server->started_at = entry.started_at;
     }
-    std::erase_if(servers, [](auto& server) {
-        return server.state == EndpointState::Gone;
-    });  // so that memory does not grow with every new id
+    // Caches come and go under ever new ids: keeping them would use ever more memory.
+    std::erase_if(servers, [](auto& server) { return server.state == EndpointState::Gone; });
 }
 
 void Router::endpoint_list_failed() { list_wanted = true; }
@@ -416,18 +412,18 @@
     if (router.halved_at == 0) router.halved_at = now;
     while (now - router.halved_at >= halving_interval ||
            (known == router.object_counts.end() && router.object_counts.size() >= max_object_counts)) {
-        for (auto& [object, name] : router.object_counts) name.lookups /= 2;
-        std::erase_if(router.object_counts, [](auto& name) { return name.second.lookups == 0; });
+        for (auto& [object, count] : router.object_counts) count.lookups /= 2;
+        std::erase_if(router.object_counts, [](auto& count) { return count.second.lookups == 0; });
         router.halved_at = now;
         known = router.object_counts.find(lookup.object);
     }
-    auto& name = router.object_counts[lookup.object];
-    name.lookups++;
-    if (router.random.unit() < psi(name.lookups + lookup.lookups_elsewhere, router.p())) name.keep = true;
-    return name.keep;
+    auto& count = router.object_counts[lookup.object];
+    count.lookups++;
+    if (router.random.unit() < psi(count.lookups + lookup.lookups_elsewhere, router.p())) count.keep = true;
+    return count.keep;
 }
 
-// Counted from the time at which the server's next response was due.
+// The silence is counted from the time at which the server's next response was due.
 double silence_in_gaps(const Server& server, Micros now) {
     Micros due = earliest_due(server), since = std::max(due, server.last_response_at);
     if (due == 0 || now <= since) return 0;
@@ -499,8 +495,8 @@
 
 // All routers together may send a cold server a multiple of what its link carries within any window. This
 // router uses its share of that, less a margin. Where the share is less than one lookup, the router sends one
-// lookup in as many windows as add up to it, drawn at random, so that all routers together keep to the budget
-// except for random variation.
+// lookup in as many windows as add up to it, scored at random, so that all routers together keep to the
+// budget except for random variation.
 //
 // Where the link rate is not known, the rate stands for it that this router has seen at the server's peers,
 // or that the server itself has answered since its start. The ratio stays that of the settings: a larger one
@@ -668,13 +664,13 @@
     PendingLookup& lookup = lookups[info.id] = PendingLookup{.info = info, .received_at = now};
     add_sample(recent_lookups, now, 1);
     if (info.kbytes > 0) {
-        lookup.sending_time =
-            static_cast<Micros>(info.kbytes / client_kb_per_us);  // a client may have made up one too large
+        lookup.sending_time = static_cast<Micros>(info.kbytes / client_kb_per_us);
+        // A client may state a size that is made up: one that cannot be sent in time is no sample.
         if (lookup.sending_time <= info.deadline - now)
             add_sample(type.sending_times, now, lookup.sending_time, long_history);
-    } else if (auto name = object_counts.find(info.object);
-               name != object_counts.end() && name->second.sending_time > 0) {
-        lookup.sending_time = name->second.sending_time;
+    } else if (auto count = object_counts.find(info.object);
+               count != object_counts.end() && count->second.sending_time > 0) {
+        lookup.sending_time = count->second.sending_time;
     } else {
         // The size is unknown: that of a random recent lookup stands for it, so that shedding affects a share
         // of such lookups.
@@ -800,8 +796,8 @@
         !lookup.no_upstream && should_shed(router, lookup, fill_congestion(router, lookup.info.traffic, now),
                                            fill_shed_start, fill_shed_end, false);
     Server* cache = pick_cache(router, lookup, now);
-    if (!cache && router.direct && !lookup.no_upstream &&
-        !lookup.only_if_cached) {  // directly to the upstream, shed like a fill
+    // Directly to the upstream, unless the lookup is shed as a fill would be.
+    if (!cache && router.direct && !lookup.no_upstream && !lookup.only_if_cached) {
         CacheId upstream = pick_upstream(router, lookup, now);
         cache = upstream ? find_server(router, upstream) : nullptr;
     }
@@ -880,15 +876,15 @@
     if (ok) {
         add_sample(type.answered, now, lookup.sending_time, long_history);
         add_sample(type.excess_times, now, result.elapsed - lookup.sending_time, long_history);
-        if (lookup.info.kbytes <=
-            0) {  // the parts of an object are alike, so the quickest answer tells their size
-            auto name = router.object_counts.find(lookup.info.object);
-            if (name != router.object_counts.end() &&
-                (name->second.sending_time == 0 || result.elapsed < name->second.sending_time))
-                name->second.sending_time = result.elapsed;
+        // The parts of an object are alike, so its quickest answer tells the size that the client did not.
+        if (lookup.info.kbytes <= 0) {
+            auto count = router.object_counts.find(lookup.info.object);
+            if (count != router.object_counts.end() &&
+                (count->second.sending_time == 0 || result.elapsed < count->second.sending_time))
+                count->second.sending_time = result.elapsed;
             if (hit)
                 add_sample(type.sending_times, now,
-                           name != router.object_counts.end() ? name->second.sending_time : result.elapsed,
+                           count != router.object_counts.end() ? count->second.sending_time : result.elapsed,
                            long_history);
         }
         router.retry_credit = std::min(max_retry_credit, router.retry_credit + retry_credit_per_answer);
@@ -1013,7 +1009,7 @@
     if (outcome == Outcome::Ok)
         record_reachable(*server, now);
     else if (outcome != Outcome::NotSent &&
-             server->unreachable_since == 0)  // with NotSent the probe says nothing of the server
+             server->unreachable_since == 0)  // NotSent: the server was not asked
         server->unreachable_since = now;
 }
 
@@ -1061,10 +1057,10 @@
     maintenance.next_check = maintenance_interval;
     maintenance.subscribe = std::exchange(list_wanted, false);
     add_sample(upstream_in_flight, now, in_flight_at_upstreams(*this), long_history);
-    bool link_report_missing = probes && link_utilization_index >= 0 &&
-                               !load_in_responses;  // then one cache at a time is probed for it
-    double least_work =
-        mean_sending_time(traffic_types.front());  // a probe is charged as a lookup of the smallest type
+    // Without recent reports of the link's utilization, one cache at a time is probed for it.
+    bool link_report_missing = probes && link_utilization_index >= 0 && !load_in_responses;
+    // A probe is charged as a lookup of the smallest type.
+    double least_work = mean_sending_time(traffic_types.front());
     for (auto& type : traffic_types) least_work = std::min(least_work, mean_sending_time(type));
     for (auto& server : servers)
         if (is_edge(*this, server) &&
