--- a/src/drill/drill.cpp
+++ b/src/drill/drill.cpp
@@ -37,7 +37,7 @@
     OnBehalf = 78
 };
 
-constexpr std::uint64_t upkeep_token = ~std::uint64_t{0};  // no lookup id is that large
+constexpr std::uint64_t maintenance_token = ~std::uint64_t{0};  // no lookup id is that large
 constexpr Micros longest_wait = 0xffffffff;
 
 LoadReport read_load(std::string_view record, std::size_t at) {
@@ -169,19 +169,19 @@
 void Drill::ended(std::string_view record) {
     auto handle = router().find_lookup(read_number(record, 1, 8));
     if (!handle) return;
-    AttemptResult end{};
-    end.outcome = read_outcome(record, 9);
-    end.elapsed = static_cast<Micros>(read_number(record, 10, 4));
-    end.attempt = static_cast<int>(read_number(record, 14, 1));
-    end.first_byte_wait = static_cast<Micros>(read_number(record, 15, 4));
-    end.cache = read_number(record, 19, 6);
+    AttemptResult result{};
+    result.outcome = read_outcome(record, 9);
+    result.elapsed = static_cast<Micros>(read_number(record, 10, 4));
+    result.attempt = static_cast<int>(read_number(record, 14, 1));
+    result.first_byte_wait = static_cast<Micros>(read_number(record, 15, 4));
+    result.cache = read_number(record, 19, 6);
     auto note = read_number(record, 25, 4);
     if (note > static_cast<std::uint64_t>(CacheStatus::OriginError)) throw BadInput("unknown remark");
-    end.cache_status = static_cast<CacheStatus>(note);
-    end.lookup_closed = read_number(record, 29, 1) != 0;
-    end.load = read_load(record, 30);
+    result.cache_status = static_cast<CacheStatus>(note);
+    result.lookup_closed = read_number(record, 29, 1) != 0;
+    result.load = read_load(record, 30);
     auto id = handle->lookup.info.id;  // the handle may be spent by the call
-    write(id, handle->attempt_ended(end, now));
+    write(id, handle->attempt_ended(result, now));
 }
 
 void Drill::members(std::string_view record) {
@@ -207,62 +207,62 @@
 }
 
 void Drill::reminder(std::uint64_t token) {
-    if (token == upkeep_token)
+    if (token == maintenance_token)
         write(router().run_maintenance(now));
     else if (auto handle = router().find_lookup(token))
         write(token, handle->check(now));
 }
 
-void Drill::write(LookupId id, const RoutingDecision& answer) {
-    for (int round : answer.cancel) {
+void Drill::write(LookupId id, const RoutingDecision& decision) {
+    for (int attempt : decision.cancel) {
         begin(Revoke);
         put(1, 8, id);
-        put(9, 1, round);
+        put(9, 1, attempt);
     }
-    if (answer.send) {
+    if (decision.send) {
         begin(ServeVia);
         put(1, 8, id);
-        put(9, 1, answer.send->rank);
-        put(10, 4, std::min(answer.send->max_copy_age, longest_wait));
-        put(14, 4, std::min(answer.send->time_limit, longest_wait));
-        put(18, 6, answer.send->upstream);
-        put(24, 6, answer.send->cache);
+        put(9, 1, decision.send->rank);
+        put(10, 4, std::min(decision.send->max_copy_age, longest_wait));
+        put(14, 4, std::min(decision.send->time_limit, longest_wait));
+        put(18, 6, decision.send->upstream);
+        put(24, 6, decision.send->cache);
         put(30, 1,
-            (answer.send->collapse ? 1 : 0) | (answer.send->only_if_cached ? 2 : 0) |
-                (answer.send->refresh ? 8 : 0));
+            (decision.send->collapse ? 1 : 0) | (decision.send->only_if_cached ? 2 : 0) |
+                (decision.send->refresh ? 8 : 0));
     }
-    if (answer.final_result == FinalResult::Rejected) {
+    if (decision.final_result == FinalResult::Rejected) {
         begin(OverloadReply);
         put(1, 8, id);
-        put(9, 4, std::min(answer.retry_after, longest_wait));
-    } else if (answer.final_result == FinalResult::Failed) {
+        put(9, 4, std::min(decision.retry_after, longest_wait));
+    } else if (decision.final_result == FinalResult::Failed) {
         begin(DropRequest);
         put(1, 8, id);
     }
-    if (answer.next_check > 0) {
+    if (decision.next_check > 0) {
         begin(Arm);
-        put(1, 4, std::min(answer.next_check, longest_wait));
+        put(1, 4, std::min(decision.next_check, longest_wait));
         put(5, 8, id);
     }
 }
 
-void Drill::write(const Maintenance& upkeep) {
-    for (auto cache : upkeep.probe) {
+void Drill::write(const Maintenance& maintenance) {
+    for (auto cache : maintenance.probe) {
         begin(Inspect);
         put(1, 6, cache);
     }
-    for (auto& line : upkeep.log) {
+    for (auto& line : maintenance.log) {
         begin(Log);
         put_text(line);
     }
-    if (upkeep.subscribe) {
+    if (maintenance.subscribe) {
         begin(Subscribe);
         put(1, 1, 1);
     }
-    if (upkeep.next_check > 0) {
+    if (maintenance.next_check > 0) {
         begin(Arm);
-        put(1, 4, std::min(upkeep.next_check, longest_wait));
-        put(5, 8, upkeep_token);
+        put(1, 4, std::min(maintenance.next_check, longest_wait));
+        put(5, 8, maintenance_token);
     }
 }
 
--- a/src/drill/drill.hpp
+++ b/src/drill/drill.hpp
@@ -22,8 +22,8 @@
     void members(std::string_view record);
     void reminder(std::uint64_t token);
 
-    void write(LookupId id, const RoutingDecision& answer);
-    void write(const Maintenance& upkeep);
+    void write(LookupId id, const RoutingDecision& decision);
+    void write(const Maintenance& maintenance);
     void begin(int code);  // a new record of the reply, on behalf of the current instance
     void put(std::size_t at, int width, std::uint64_t value);
     void put_text(std::string_view text);
