--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -28,21 +28,21 @@
 // up whom it has not heard for four rounds.
 class Heartbeats {
 public:
-    explicit Heartbeats(const peers::Start& start)
+    explicit Heartbeats(const peers::MembershipConfig& start)
         : self(start.self),
           others(start.routers - 1),
-          every(static_cast<Micros>(size / start.rates.bytes_per_s * 1e6)),
+          every(static_cast<Micros>(size / start.settings.bytes_per_s * 1e6)),
           limit(every * others * 4),
           next(start.now),
           heard(static_cast<std::size_t>(start.routers), start.now),
           dead(static_cast<std::size_t>(start.routers)) {}
-    void hear(Number from, std::string_view /*datagram*/, Micros now) {
+    void receive(Number from, std::string_view /*datagram*/, Micros now) {
         auto i = static_cast<std::size_t>(from);
         heard[i] = now;
         if (dead[i]) say(from, State::Dead, State::Alive, now);
         dead[i] = false;
     }
-    void pass(Micros now) {
+    void tick(Micros now) {
         for (; next <= now; next += every) {
             turn = turn % others + 1;
             out.push_back({(self + turn) % (others + 1), std::string(size, 'h')});
@@ -56,12 +56,12 @@
             say(who, State::Alive, State::Dead, now);
         }
     }
-    Micros due() const { return next; }
+    Micros next_tick() const { return next; }
     void leave(Micros /*now*/) {}
-    void gone(Micros /*now*/) {}
-    std::vector<peers::Outgoing> outgoing() { return std::exchange(out, {}); }
-    std::vector<peers::Change> changes() { return std::exchange(changed, {}); }
-    const peers::Figures& figures() const { return seen; }
+    void announce_exit(Micros /*now*/) {}
+    std::vector<peers::Outgoing> take_outgoing() { return std::exchange(out, {}); }
+    std::vector<peers::StateChange> take_state_changes() { return std::exchange(changed, {}); }
+    const peers::MembershipCounters& counters() const { return seen; }
 
 private:
     void say(Number who, State before, State after, Micros now) {
@@ -75,8 +75,8 @@
     std::vector<Micros> heard;
     std::vector<bool> dead;
     std::vector<peers::Outgoing> out;
-    std::vector<peers::Change> changed;
-    peers::Figures seen;
+    std::vector<peers::StateChange> changed;
+    peers::MembershipCounters seen;
 };
 
 double quantile_of(std::vector<double> values, double q) {
@@ -96,7 +96,7 @@
             news.kind = peers::Kind::News;
             for (int who = first; who < std::min(sim.count(), first + 16); who++)
                 if (who != i) news.accounts.push_back({who, sim.protocol(who)->self()});
-            sim.protocol(i)->hear(news.from, encode(news), sim.clock(i));
+            sim.protocol(i)->receive(news.from, encode(news), sim.clock(i));
         }
 }
 void introduce(rig::Simulated<Heartbeats>& /*fleet*/) {}
@@ -129,7 +129,7 @@
     before = bytes();
     std::map<int, Micros> killed;
     std::set<std::pair<int, int>> noticed;
-    sim.on_change = [&](int observer, const peers::Change& change) {
+    sim.on_change = [&](int observer, const peers::StateChange& change) {
         if (change.after != State::Dead) return;
         if (!killed.contains(change.who))
             result.false_dead++;
@@ -161,7 +161,7 @@
     introduce(sim);
     sim.run_until(sim.now() + 20 * second);
     double all = 0;
-    sim.on_change = [&](int, const peers::Change& change) { all += change.after == State::Dead; };
+    sim.on_change = [&](int, const peers::StateChange& change) { all += change.after == State::Dead; };
     sim.run_until(sim.now() + lasts);
     return all / routers / (static_cast<double>(lasts) / 3.6e9);
 }
@@ -183,7 +183,7 @@
     cut(false);
     auto begun = sim.now();
     std::map<std::pair<int, int>, double> right_at;  // of all pairs across the cut
-    sim.on_change = [&](int observer, const peers::Change& change) {
+    sim.on_change = [&](int observer, const peers::StateChange& change) {
         if (change.after == State::Alive)
             right_at[{observer, change.who}] = static_cast<double>(sim.now() - begun) / 1000;
     };
@@ -205,7 +205,7 @@
     sim.run_until(sim.now() + 20 * second);
     sim.cut(2, 7, true);
     int changes = 0;
-    sim.on_change = [&](int, const peers::Change& change) { changes += change.after != State::Silent; };
+    sim.on_change = [&](int, const peers::StateChange& change) { changes += change.after != State::Silent; };
     sim.run_until(sim.now() + 120 * second);
     return changes;
 }
@@ -222,7 +222,7 @@
         sim.run_until(sim.now() + pause);
         auto woke = sim.now();
         for (int who = 0; who < 30; who += 3) sim.go_on(who);
-        sim.on_change = [&](int observer, const peers::Change& change) {
+        sim.on_change = [&](int observer, const peers::StateChange& change) {
             bool own = change.by == observer || change.by < 0;
             wrong += observer % 3 == 0 && change.who % 3 != 0 && own && sim.now() - woke < second &&
                      (change.after == State::Suspected || change.after == State::Dead);
--- a/bench/shared_state.cpp
+++ b/bench/shared_state.cpp
@@ -56,7 +56,7 @@
     static SharedFleet* running;
     running = nullptr;
     terms.steady = [] { return running ? running->now() : 1'764'576'000 * second; };
-    peers::Rates rates;
+    peers::MembershipSettings rates;
     rates.bytes_per_s = bytes_per_s;
     auto fleet = std::make_unique<SharedFleet>(routers, 1, seed, rates,
                                                rig::LinkConditions{loss, 3 * ms, 24 * ms, 0.001, 0.01});
--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -34,21 +34,21 @@
     return out;
 }
 
-peers::Start start_of(const launch::Neighbourhood& all, const operate::Neighbours& plan, std::uint64_t seed,
-                      Micros now) {
-    peers::Start start;
+peers::MembershipConfig start_of(const launch::Neighbourhood& all, const operate::Neighbours& plan,
+                                 std::uint64_t seed, Micros now) {
+    peers::MembershipConfig start;
     start.self = all.self;
     start.routers = static_cast<int>(all.all.size());
     start.zone = all.zone;
     start.life = static_cast<peers::Life>(now / 1000);
     start.seed = seed;
     start.now = now;
-    start.rates.period = plan.period;
-    start.rates.bytes_per_s = plan.bytes_per_s;
-    start.rates.shortest = plan.shortest;
-    start.rates.longest = plan.longest;
-    start.rates.gap = plan.gap;
-    start.rates.state_transfer = plan.state_transfer;
+    start.settings.probe_period = plan.period;
+    start.settings.bytes_per_s = plan.bytes_per_s;
+    start.settings.shortest_suspicion = plan.shortest;
+    start.settings.longest_suspicion = plan.longest;
+    start.settings.longest_pause = plan.gap;
+    start.settings.state_transfer = plan.state_transfer;
     return start;
 }
 
@@ -97,15 +97,15 @@
 }
 
 void PeerPort::hear(Micros now) {
-    for (auto& [from, bytes] : came) view.hear(from, bytes, now);
+    for (auto& [from, bytes] : came) view.receive(from, bytes, now);
     came.clear();
 }
 
 void PeerPort::pass(const version::Counts& counts, Micros now) {
-    view.ill(request_health.told(counts.ended, counts.bad, now));
-    if (now >= view.due()) view.pass(now);
+    view.set_unhealthy(request_health.update(counts.ended, counts.bad, now));
+    if (now >= view.next_tick()) view.tick(now);
     send_and_say(now);
-    wake.set(view.due() - now);
+    wake.set(view.next_tick() - now);
 }
 
 void PeerPort::leave(Micros now) {
@@ -114,25 +114,26 @@
 }
 
 void PeerPort::gone(Micros now) {
-    view.gone(now);
+    view.announce_exit(now);
     send_and_say(now);
-    auto& seen = view.figures();
+    auto& seen = view.counters();
     log::info("peers: {} datagrams of {} bytes sent, {} heard, {} held back, {} times away, {} times accused",
-              seen.sent, seen.bytes_sent, seen.heard, seen.held_back, seen.away, seen.refuted);
+              seen.sent, seen.bytes_sent, seen.received, seen.withheld, seen.pauses, seen.refutations);
 }
 
 void PeerPort::send_and_say(Micros now) {
-    for (auto& one : view.outgoing()) {
+    for (auto& one : view.take_outgoing()) {
         auto to = to_system(addresses[static_cast<std::size_t>(one.to)]);
         // What the system has no room for is lost, as on the way.
         sendto(fd, one.bytes.data(), one.bytes.size(), 0, reinterpret_cast<sockaddr*>(&to), sizeof to);
     }
-    for (auto& one : view.changes())
+    for (auto& one : view.take_state_changes())
         log::info("peers: {} {} -> {} (life {}, incarnation {}, by {})", one.who, name_of(one.before),
                   name_of(one.after), one.member_state.life, one.member_state.incarnation, one.by);
-    for (auto& one : view.heard_of())
+    for (auto& one : view.take_link_reports())
         log::info("peers: {} {} {}", one.listener, one.cut ? "does not hear" : "hears again", one.speaker);
-    for (auto& one : view.health()) log::info("peers: {} is {}", one.who, one.ill ? "ill" : "well");
+    for (auto& one : view.take_health_changes())
+        log::info("peers: {} is {}", one.who, one.unhealthy ? "ill" : "well");
     say_transferred(now);
     say_dropped(now);
 }
@@ -141,20 +142,20 @@
     bool transfers = view.transferring();
     if (transfers == transferring) return;
     transferring = transfers;
-    auto& seen = view.figures();
+    auto& seen = view.counters();
     if (transfers) {
         transfer_began = now;
-        pages_before = seen.pages_taken;
+        pages_before = seen.pages_accepted;
         return;
     }
     log::info("peers: state transfer ended after {:.1f} s, {} pages",
-              static_cast<double>(now - transfer_began) / 1e6, seen.pages_taken - pages_before);
+              static_cast<double>(now - transfer_began) / 1e6, seen.pages_accepted - pages_before);
 }
 
 void PeerPort::say_dropped(Micros now) {
     if (now < say_at) return;
     say_at = now + say_every;
-    auto& dropped = view.figures().dropped;
+    auto& dropped = view.counters().dropped;
     auto sum = std::accumulate(dropped.begin(), dropped.end(), std::uint64_t{0});
     if (sum == said_dropped) return;
     said_dropped = sum;
--- a/src/node/stall_detector.hpp
+++ b/src/node/stall_detector.hpp
@@ -23,7 +23,8 @@
 
 class StallDetector {
 public:
-    // A router that does not run for so long counts as away among its peers (peers::Rates::gap).
+    // A router that does not run for so long counts as away among its peers
+    // (peers::MembershipSettings::longest_pause).
     static constexpr Micros shortest_stall = 250'000;
     static constexpr Micros report_every = 10'000'000;  // at most; stalls between reports are counted
     static constexpr Micros checkpoint_every = 50'000;
--- a/src/peers/byte_budget.hpp
+++ b/src/peers/byte_budget.hpp
@@ -17,17 +17,17 @@
     ByteBudget(double bytes_per_s, Micros now, double burst)
         : rate(bytes_per_s), most(burst), at(now), saved(burst) {}
     // Bytes there are. What is sent may go below 0 by one datagram, and has to be earned then.
-    double left(Micros now) {
+    double available(Micros now) {
         saved = std::min(most, saved + rate * static_cast<double>(std::max<Micros>(0, now - at)) / 1e6);
         at = std::max(at, now);
         return saved;
     }
     void spend(std::size_t bytes) { saved -= static_cast<double>(bytes); }
     // When there will be so many, if none is spent before.
-    Micros when(double bytes) const {
+    Micros available_at(double bytes) const {
         return at + static_cast<Micros>(std::max(0.0, bytes - saved) / rate * 1e6);
     }
-    void spend_back(std::size_t bytes) { saved = std::min(most, saved + static_cast<double>(bytes)); }
+    void refund(std::size_t bytes) { saved = std::min(most, saved + static_cast<double>(bytes)); }
 
 private:
     double rate, most;
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -16,10 +16,10 @@
 
 // With state transfer on, what all send in one burst has to leave room for pages in what one of them takes
 // in.
-ByteBudget budget_of(const Rates& rates, Micros now) {
+ByteBudget budget_of(const MembershipSettings& settings, Micros now) {
     constexpr double burst_seconds = 1;
-    if (!rates.state_transfer) return {rates.bytes_per_s, now};
-    return {rates.bytes_per_s, now, rates.bytes_per_s * burst_seconds};
+    if (!settings.state_transfer) return {settings.bytes_per_s, now};
+    return {settings.bytes_per_s, now, settings.bytes_per_s * burst_seconds};
 }
 
 }  // namespace
@@ -44,27 +44,28 @@
     return "gone";
 }
 
-Membership::Membership(const Start& start)
+Membership::Membership(const MembershipConfig& start)
     : number(start.self),
       zone(start.zone),
-      rates(start.rates),
+      settings(start.settings),
       me{start.life, Phase::Here, 0, Verdict::Alive, false},
       members(static_cast<std::size_t>(start.routers)),
-      probe_schedule(start.self, start.routers, start.rates.period),
-      suspicions({start.rates.shortest, start.rates.longest, 2 * start.rates.period}),
+      probe_schedule(start.self, start.routers, start.settings.probe_period),
+      suspicions({start.settings.shortest_suspicion, start.settings.longest_suspicion,
+                  2 * start.settings.probe_period}),
       reachability(start.self),
       gossip(start.routers),
-      local_health(start.rates.gap, start.now),
-      round_trips(start.rates.period, start.now),
-      byte_budget(budget_of(start.rates, start.now)),
+      local_health(start.settings.longest_pause, start.now),
+      round_trips(start.settings.probe_period, start.now),
+      byte_budget(budget_of(start.settings, start.now)),
       chance(static_cast<std::uint32_t>(start.seed ^ (start.seed >> 32) ^ start.life)),
       last_slot(probe_schedule.slot(start.now)),
       digest_at(start.now),
       unlike(8) {
-    if (rates.state_transfer) {
+    if (settings.state_transfer) {
         transfer.emplace(number, start.routers, static_cast<std::uint32_t>(start.seed ^ start.life),
                          start.now);
-        page_server.emplace(rates.bytes_per_s, start.now);
+        page_server.emplace(settings.bytes_per_s, start.now);
         unlike = 0;
     }
     auto& mine = at(number);
@@ -76,7 +77,7 @@
 
 // ---- what comes
 
-void Membership::hear(Number from, std::string_view datagram, Micros now) {
+void Membership::receive(Number from, std::string_view datagram, Micros now) {
     arrive(now);
     if (transfer) transfer->count(datagram.size(), now);
     if (from < 0) {
@@ -93,15 +94,15 @@
         seen.dropped[static_cast<std::size_t>(Dropped::Source)]++;
         return;
     }
-    if (!rates.state_transfer && of_state_transfer(decoded.message->kind)) {
+    if (!settings.state_transfer && of_state_transfer(decoded.message->kind)) {
         seen.dropped[static_cast<std::size_t>(Dropped::TransferOff)]++;
         return;
     }
-    seen.heard++;
+    seen.received++;
     take(*decoded.message, now);
     pass_on(now);
     // An answer takes its probe off the list, so the next call may be due later than was said.
-    local_health.promise(due());
+    local_health.promise(next_tick());
 }
 
 // Each call begins here. Guards against a router that was stopped, or that had no processor, and then holds
@@ -110,7 +111,7 @@
 void Membership::arrive(Micros now) {
     auto away = local_health.away(now);
     if (away == 0) return;
-    seen.away++;
+    seen.pauses++;
     probes.clear();
     indirect_probes.clear();
     suspicions.set_back(away);
@@ -118,7 +119,7 @@
     // Its own slowness is no miss of others either.
     last_slot = probe_schedule.slot(now);
     // What was told meanwhile has been told often enough for others.
-    if (transfer && away >= rates.longest) transfer->begin_after_pause(now);
+    if (transfer && away >= settings.longest_suspicion) transfer->begin_after_pause(now);
     say_anew(true);
     tell_some(3, now);
 }
@@ -146,7 +147,7 @@
     for (auto& account : message.accounts) take(account, message.from, now);
     take_accusations(message, now);
     // Those of a digest are what its sender holds, no news: taken as news, a cut would never expire.
-    if (message.kind != Kind::Digest) take_link_reports(message, now);
+    if (message.kind != Kind::Digest) apply_link_reports(message, now);
 
     take_by_kind(message, now);
 }
@@ -215,7 +216,7 @@
     }
 }
 
-void Membership::take_link_reports(const Message& message, Micros now) {
+void Membership::apply_link_reports(const Message& message, Micros now) {
     for (auto& report : message.link_reports)
         if (reachability.told(report, at(report.listener).member_state.life, now))
             note_cut(report.speaker, report.listener, report.cut, message.from, now);
@@ -232,7 +233,7 @@
     bool accused = told.incarnation == me.incarnation && told.verdict != Verdict::Alive;
     if (told.incarnation <= me.incarnation && !accused) return;
     me.incarnation = told.incarnation;
-    seen.refuted++;
+    seen.refutations++;
     local_health.worse();
     say_anew(true);
 }
@@ -253,14 +254,14 @@
 
 // ---- what is due
 
-void Membership::pass(Micros now) {
+void Membership::tick(Micros now) {
     arrive(now);
     probe_in_slot(now);
     step_probes(now);
     say_no_to_askers(now);
     if (now >= look_again_at) {
         look_again(now);
-        look_again_at = now + rates.period * 3;
+        look_again_at = now + settings.probe_period * 3;
     }
     judge(now);
     pass_on(now);
@@ -271,10 +272,10 @@
         expire_at = now + 1000 * ms;
     }
     piggyback_waits = false;  // it says so again, each time before this
-    local_health.promise(due());
+    local_health.promise(next_tick());
 }
 
-Micros Membership::due() const {
+Micros Membership::next_tick() const {
     auto at = probe_schedule.start(last_slot + 1);
     for (auto& one : probes) at = std::min(at, one.passed_on ? one.end : std::min(one.step_at, one.end));
     for (auto& one : indirect_probes)
@@ -292,14 +293,14 @@
     tell_some(4, now);
 }
 
-void Membership::gone(Micros now) {
+void Membership::announce_exit(Micros now) {
     me.phase = Phase::Gone;
     say_anew(true);
     // Its last chance to be heard, so more are told.
     tell_some(6, now);
 }
 
-void Membership::ill(bool yes) {
+void Membership::set_unhealthy(bool yes) {
     if (me.ill == yes) return;
     me.ill = yes;
     say_anew(true);
@@ -309,20 +310,20 @@
 
 State Membership::state(Number who) const { return at(who).state; }
 
-View Membership::view(Number who, Micros now) const {
+MemberView Membership::view(Number who, Micros now) const {
     auto& member = at(who);
-    View view;
+    MemberView view;
     view.state = member.state;
     view.since = member.since;
-    view.ill = member.member_state.ill;
+    view.unhealthy = member.member_state.ill;
     view.zone = member.zone;
     view.member_state = member.member_state;
-    view.heard = member.heard;
+    view.last_heard = member.heard;
     view.hears_me = !reachability.cut(number, who);
     view.is_heard = !reachability.cut(who, number);
     // As long as somebody is heard, no news of a router is news; alone, all that is known grows old.
-    auto alone =
-        static_cast<double>(now - std::max(heard_any, member.heard)) / static_cast<double>(rates.longest);
+    auto alone = static_cast<double>(now - std::max(heard_any, member.heard)) /
+                 static_cast<double>(settings.longest_suspicion);
     auto fresh = who == number ? 1 : std::exp2(-std::max(0.0, alone));
     auto* suspicion = suspicions.find(who);
     switch (member.state) {
@@ -330,17 +331,17 @@
             break;
         case State::Alive:
         case State::Silent:
-            view.sure = who == number ? 1 : 0.99 * fresh;
+            view.confidence = who == number ? 1 : 0.99 * fresh;
             break;
         case State::Suspected:
-            view.sure = suspicion ? fresh * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
+            view.confidence = suspicion ? fresh * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
             break;
         case State::Dead:
-            view.sure = 0.9 * fresh;
+            view.confidence = 0.9 * fresh;
             break;
         case State::Leaving:
         case State::Gone:
-            view.sure = 1;
+            view.confidence = 1;
             break;
     }
     return view;
@@ -350,8 +351,8 @@
     Counts counts;
     for (auto& member : members) {
         auto state = member.state;
-        if (state == State::Alive || state == State::Silent || state == State::Leaving) counts.surely++;
-        if (state != State::Gone) counts.possibly++;
+        if (state == State::Alive || state == State::Silent || state == State::Leaving) counts.at_least++;
+        if (state != State::Gone) counts.at_most++;
     }
     return counts;
 }
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -17,7 +17,8 @@
 //   - A router that lives and can be reached through anyone stays out of `Dead` while datagrams get lost and
 //     come late, and comes back from it by itself once it is reached again.
 //   - A cut in one direction never makes a router suspected: it is `Silent` to the one that does not hear it.
-//   - A datagram is 256 bytes at most, and Rates::bytes_per_s bounds what is sent in the long run, with two
+//   - A datagram is 256 bytes at most, and MembershipSettings::bytes_per_s bounds what is sent in the long
+//   run, with two
 //     seconds' worth at once, whatever comes in and however many routers there are.
 //   - Memory: some hundred bytes a router of the tier, all set aside at the start; 64 one-sided cuts.
 #pragma once
@@ -45,27 +46,27 @@
 namespace quillgrade::peers {
 
 // Times and bytes, as the operators' file states them.
-struct Rates {
-    Micros period = 333'000;      // between probes
-    double bytes_per_s = 300;     // of what a router sends, without the headers of UDP and IP
-    Micros shortest = 2'100'000;  // from an accusation to a verdict, where several accuse
-    Micros longest = 8'000'000;   // where one does
-    Micros gap = 250'000;         // a later pass than this means that the router was away
-    int helpers = 2;
+struct MembershipSettings {
+    Micros probe_period = 333'000;          // between probes
+    double bytes_per_s = 300;               // of what a router sends, without the headers of UDP and IP
+    Micros shortest_suspicion = 2'100'000;  // from an accusation to a verdict, where several accuse
+    Micros longest_suspicion = 8'000'000;   // where one does
+    Micros longest_pause = 250'000;         // a later pass than this means that the router was away
+    int indirect_probe_helpers = 2;
     // State transfer at the start and after cuts (docs/state-transfer.md). Off: no datagram of its kinds is
     // sent, and those that come are dropped and counted.
     bool state_transfer = false;
-    bool operator==(const Rates&) const = default;
+    bool operator==(const MembershipSettings&) const = default;
 };
 
-struct Start {
+struct MembershipConfig {
     Number self = 0;
     int routers = 1;
     int zone = -1;
     Life life = 1;
     std::uint64_t seed = 1;
     Micros now = 0;
-    Rates rates{};
+    MembershipSettings settings{};
 };
 
 enum class State {
@@ -79,7 +80,7 @@
 };
 const char* name_of(State state);
 
-struct Change {
+struct StateChange {
     Number who;
     State before, after;
     Micros at;
@@ -88,26 +89,26 @@
                 // ran out
 };
 
-struct View {
+struct MemberView {
     State state = State::Unknown;
-    Micros since = 0;  // of the state
-    double sure = 0;   // 0 to 1. 1 only for what the router said of itself; falls while I hear nobody
-    bool ill = false;  // it answers us, but says that it gets no lookups handled
-    int zone = -1;     // -1: not heard yet
+    Micros since = 0;        // of the state
+    double confidence = 0;   // 0 to 1. 1 only for what the router said of itself; falls while I hear nobody
+    bool unhealthy = false;  // it answers us, but says that it gets no lookups handled
+    int zone = -1;           // -1: not heard yet
     MemberState member_state{};
-    Micros heard = 0;                       // the last datagram of its own, 0: none
+    Micros last_heard = 0;                  // the last datagram of its own, 0: none
     bool hears_me = true, is_heard = true;  // the two directions between it and me; true while not known cut
 };
 
-struct Health {
+struct HealthChange {
     Number who;
-    bool ill;
+    bool unhealthy;
 };
 
 // An interval: `surely` counts those alive, leaving or silent to me; `possibly` all but those that said they
 // were gone.
 struct Counts {
-    int surely = 0, possibly = 0;
+    int at_least = 0, at_most = 0;
 };
 
 struct Outgoing {
@@ -125,60 +126,64 @@
     virtual void unload(Number from, Life life, std::string_view bytes, Micros now) = 0;
 };
 
-struct Figures {
-    std::uint64_t payload_bytes = 0;
-    std::uint64_t sent = 0, bytes_sent = 0, heard = 0, held_back = 0, away = 0, refuted = 0, accused = 0;
+struct MembershipCounters {
+    std::uint64_t piggyback_bytes = 0;
+    std::uint64_t sent = 0, bytes_sent = 0, received = 0, withheld = 0, pauses = 0, refutations = 0,
+                  accusations = 0;
     std::array<std::uint64_t, static_cast<std::size_t>(Dropped::Last)> dropped{};
     // Of state transfer.
-    std::uint64_t range_requests = 0, pages_taken = 0, pages_unasked = 0, pages_sent = 0, requests_shed = 0;
+    std::uint64_t range_requests = 0, pages_accepted = 0, pages_unsolicited = 0, pages_sent = 0,
+                  requests_shed = 0;
 };
 
 class Membership {
 public:
-    explicit Membership(const Start& start);
+    explicit Membership(const MembershipConfig& start);
 
     // A datagram from the address of router `from` in the list; -1: from an address that is not in it.
-    void hear(Number from, std::string_view datagram, Micros now);
-    void pass(Micros now);   // what is due
-    Micros due() const;      // when it wants to be called again at the latest
-    void leave(Micros now);  // SIGTERM: from now on it says that it leaves
-    void gone(Micros now);   // the last word
-    void ill(bool yes);      // whether it gets its lookups handled
-    std::vector<Outgoing> outgoing() { return std::exchange(out, {}); }
-    std::vector<Change> changes() { return std::exchange(changed, {}); }
-    std::vector<LinkReport> heard_of() {
+    void receive(Number from, std::string_view datagram, Micros now);
+    void tick(Micros now);           // what is due
+    Micros next_tick() const;        // when it wants to be called again at the latest
+    void leave(Micros now);          // SIGTERM: from now on it says that it leaves
+    void announce_exit(Micros now);  // the last word
+    void set_unhealthy(bool yes);    // whether it gets its lookups handled
+    std::vector<Outgoing> take_outgoing() { return std::exchange(out, {}); }
+    std::vector<StateChange> take_state_changes() { return std::exchange(changed, {}); }
+    std::vector<LinkReport> take_link_reports() {
         return std::exchange(cut_news, {});
     }  // one-sided cuts and their ends
 
-    std::vector<Health> health() {
+    std::vector<HealthChange> take_health_changes() {
         return std::exchange(health_news, {});
     }  // who says it is ill, or well again
 
     // Null: nobody rides. It has to outlive the membership, or be taken off.
-    void carry(Piggyback* rider) { piggyback = rider; }
+    void set_piggyback(Piggyback* rider) { piggyback = rider; }
     // Datagrams for the passenger's sake, to `most` routers that are alive and can be talked with, of
     // `in_zone` where that is not -1. False where the bytes for that are used up. Urgent ones may take what
     // answers may.
-    bool tell(std::size_t most, int in_zone, bool urgent, Micros now);
-    bool tell(Number to, bool urgent, Micros now);
+    bool send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now);
+    bool send_piggyback(Number to, bool urgent, Micros now);
     // The same to one, and where the bytes for it are not there they are saved up.
-    bool insist(Number to, Micros now) { return !(piggyback_waits = !tell(to, true, now)); }
+    bool send_piggyback_or_reserve(Number to, Micros now) {
+        return !(piggyback_waits = !send_piggyback(to, true, now));
+    }
     // Bytes that may be sent for the passenger's sake now.
-    double spare(Micros now);
+    double spare_bytes(Micros now);
 
-    View view(Number who, Micros now) const;
+    MemberView view(Number who, Micros now) const;
     State state(Number who) const;
     int zone_of(Number who) const { return at(who).zone; }  // -1: not heard yet
     int own_zone() const { return zone; }
-    Number number_of_self() const { return number; }
+    Number own_number() const { return number; }
     Counts counts() const;
     std::vector<LinkReport> cuts() const { return reachability.cuts(); }
     const MemberState& self() const { return me; }
-    const Figures& figures() const { return seen; }
+    const MembershipCounters& counters() const { return seen; }
     int routers() const { return static_cast<int>(members.size()); }
     std::size_t bytes_held() const;
     // It has started, or was away for long, and still fetches the accounts of the others. Never without
-    // Rates::state_transfer.
+    // MembershipSettings::state_transfer.
     bool transferring() const;
 
 private:
@@ -219,7 +224,7 @@
     void take(const Account& account, Number by, Micros now, Spread spreading = Spread::Yes);
     void take_by_kind(const Message& message, Micros now);
     void take_accusations(const Message& message, Micros now);
-    void take_link_reports(const Message& message, Micros now);
+    void apply_link_reports(const Message& message, Micros now);
     void about_me(const MemberState& told);
     void accuse(Number who, Number accuser, Micros age, Micros now);
     void judge(Micros now);
@@ -281,7 +286,7 @@
 
     Number number;
     int zone;
-    Rates rates;
+    MembershipSettings settings;
     MemberState me;
     std::vector<Member> members;
     ProbeSchedule probe_schedule;
@@ -291,18 +296,18 @@
     LocalHealth local_health;
     RoundTrips round_trips;
     ByteBudget byte_budget;
-    std::optional<StateTransfer> transfer;  // only with Rates::state_transfer, as the next
+    std::optional<StateTransfer> transfer;  // only with MembershipSettings::state_transfer, as the next
     std::optional<PageServer> page_server;
     boost::random::taus88 chance;
     std::vector<Probe> probes;
     std::vector<IndirectProbe> indirect_probes;
     std::vector<Outgoing> out;
-    std::vector<Change> changed;
+    std::vector<StateChange> changed;
     std::vector<LinkReport> cut_news;
-    std::vector<Health> health_news;
+    std::vector<HealthChange> health_news;
     Piggyback* piggyback = nullptr;
     bool piggyback_waits = false;  // it has something urgent, and the bytes for it have to be saved up
-    Figures seen;
+    MembershipCounters seen;
     std::uint32_t next_probe = 1;
     std::int64_t last_slot = -1;
     Micros digest_at = 0, look_again_at = 0, expire_at = 0, heard_any = 0;
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -32,11 +32,11 @@
 void Membership::send_digest(Micros now) {
     bool soon = unlike > 0;
     if (unlike > 0) unlike--;
-    digest_at = now + rates.period * (soon ? 2 : 10);
+    digest_at = now + settings.probe_period * (soon ? 2 : 10);
     // All would differ, and the answers say less than pages do.
     if (transferring()) return;
     // Without state transfer a second's worth has to be there, of two; with it no more than one is saved up.
-    auto enough = transfer ? kept_back(SendPriority::Spare) * rates.bytes_per_s : rates.bytes_per_s;
+    auto enough = transfer ? kept_back(SendPriority::Spare) * settings.bytes_per_s : settings.bytes_per_s;
     if (bytes_left(now) < enough) return;
     auto to = pick(1, -1);
     if (to.empty()) return;
@@ -106,7 +106,8 @@
 
 // Whether members that this router has no account of are unknown to the others too, as far as it can tell.
 bool Membership::knows_all(Micros now) const {
-    return transfer->phase() == StateTransfer::Phase::Complete && now - heard_any <= rates.longest;
+    return transfer->phase() == StateTransfer::Phase::Complete &&
+           now - heard_any <= settings.longest_suspicion;
 }
 
 // Where many blocks differ from somebody else's, as after a partition, gossip would take long.
@@ -117,7 +118,7 @@
 
 void Membership::ask_for_ranges(Micros now) {
     transfer->expire(now);
-    bool heard_lately = now - heard_any <= rates.period * 3;
+    bool heard_lately = now - heard_any <= settings.probe_period * 3;
     if (transfer->phase() == StateTransfer::Phase::Failed && heard_lately) transfer->begin(now);
     auto rank = [this](Number who) { return rank_as_helper(who); };
     while (auto wanted = transfer->next(rank, now)) {
@@ -141,10 +142,10 @@
     if (!message.page) return transfer->take_busy(message.from, now);
     // Guards against pages that nobody asked for, and those that were on their way for too long.
     if (!transfer->expects(message.from, *message.page, now)) {
-        seen.pages_unasked++;
+        seen.pages_unsolicited++;
         return;
     }
-    seen.pages_taken++;
+    seen.pages_accepted++;
     for (auto& account : message.page->accounts)
         if (!worsens(account)) take(account, message.from, now, Spread::No);
     transfer->take(message.from, *message.page, message.complete, now);
@@ -208,8 +209,8 @@
 
 // Without news: they would take the receiver's bytes for pages.
 bool Membership::send_alone(Number to, Message message, SendPriority priority, Micros now) {
-    if (bytes_left(now) <= kept_back(priority) * rates.bytes_per_s) {
-        seen.held_back++;
+    if (bytes_left(now) <= kept_back(priority) * settings.bytes_per_s) {
+        seen.withheld++;
         return false;
     }
     message.from = number;
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -47,8 +47,8 @@
     ping.probe = next_probe;
     next_probe = next_probe % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
-    auto wait = rates.period * local_health.stretch();
-    probes.push_back({ping.probe, target, now, now + rates.period / 6, now + wait, now + wait});
+    auto wait = settings.probe_period * local_health.stretch();
+    probes.push_back({ping.probe, target, now, now + settings.probe_period / 6, now + wait, now + wait});
     // Where one direction is known to be cut, helpers are asked at once, and the ping only tells whether it
     // still is.
     if (reachability.cut(number, target) || reachability.cut(target, number)) step(probes.back(), now);
@@ -72,7 +72,7 @@
 // into the choice of helpers, since what cuts one off cuts off its neighbours.
 void Membership::step(Probe& probe, Micros now) {
     auto step_after = [&](Micros wait) { probe.step_at = now + wait < probe.asks_end ? now + wait : never; };
-    step_after(rates.period / 6 * local_health.stretch());
+    step_after(settings.probe_period / 6 * local_health.stretch());
     // Whom it has accused already, it only tells so.
     auto* suspicion = suspicions.find(probe.target);
     bool said = suspicion && !suspicion->ask_first &&
@@ -80,7 +80,7 @@
     if (!thought_there(probe.target) || said) return;
     bool cut = reachability.cut(number, probe.target) || reachability.cut(probe.target, number);
     if (cut) {
-        step_after(rates.period / 3 * local_health.stretch());
+        step_after(settings.probe_period / 3 * local_health.stretch());
         probe.steps++;
     } else {
         Message ping;
@@ -89,7 +89,8 @@
         probe.starved |= !send(probe.target, ping, SendPriority::Insist, now);
     }
     if (probe.steps++ == 0) return;
-    for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : rates.helpers), probe.target)) {
+    for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : settings.indirect_probe_helpers),
+                            probe.target)) {
         Message ask;
         ask.kind = Kind::Ask;
         ask.probe = probe.number;
@@ -146,7 +147,7 @@
     if (reachability.cut(number, probe.target) || reachability.cut(probe.target, number)) return;
     // A helper that says no shows that this router is heard; those that say nothing put itself in doubt.
     if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.worse();
-    seen.accused++;
+    seen.accusations++;
     accuse(probe.target, number, 0, now);
     // The accused hears it first, so that it can answer before many have to be told otherwise.
     Message news;
@@ -195,7 +196,7 @@
     // For somebody whose own ping should have come as well. Back through the helper, and straight: so both
     // ends learn which directions are whole.
     heard.about = ping.about;
-    heard.direct = at(ping.about).heard > now - rates.period * 4;
+    heard.direct = at(ping.about).heard > now - settings.probe_period * 4;
     send(ping.from, heard, SendPriority::Answer, now);
     if (!heard.direct && reachability.missed(ping.about, now))
         note_cut(ping.about, number, true, ping.from, now);
@@ -246,7 +247,7 @@
     ping.about = ask.from;
     if (!send(ask.about, ping, SendPriority::IndirectProbe, now)) return;
     indirect_probes.push_back(
-        {ask.probe, ask.from, ask.about, now + rates.period / 6, now + rates.period * 4});
+        {ask.probe, ask.from, ask.about, now + settings.probe_period / 6, now + settings.probe_period * 4});
 }
 
 void Membership::say_no_to_askers(Micros now) {
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -73,7 +73,7 @@
 // the rest.
 void Membership::pass_on(Micros now) {
     if (!std::exchange(fresh, false) || leaves_gossip_to_others()) return;
-    if (bytes_left(now) > rates.bytes_per_s * kept_back(SendPriority::Spare)) tell_some(3, now);
+    if (bytes_left(now) > settings.bytes_per_s * kept_back(SendPriority::Spare)) tell_some(3, now);
 }
 
 // Word to some at once that would else wait for the next probe.
@@ -87,14 +87,14 @@
 
 bool Membership::send(Number to, Message message, SendPriority priority, Micros now,
                       const std::vector<Account>& first, bool for_piggyback) {
-    auto left = bytes_left(now) / rates.bytes_per_s;
+    auto left = bytes_left(now) / settings.bytes_per_s;
     // Guards against probes that use up all bytes where nobody is heard, so that others never hear what this
     // router alone was told.
     auto saved_up = piggyback_waits && !for_piggyback && priority >= SendPriority::Insist
-                        ? own_datagram / rates.bytes_per_s
+                        ? own_datagram / settings.bytes_per_s
                         : 0;
     if (to == number || left <= kept_back(priority) + saved_up) {
-        seen.held_back++;
+        seen.withheld++;
         return false;
     }
     message.from = number;
@@ -104,7 +104,7 @@
     auto bytes = encode_within_limit(message);
     if (piggyback) {
         auto keep = piggyback_waits ? 0 : kept_back(for_piggyback ? priority : SendPriority::News);
-        load_payload(to, message, bytes, (left - keep) * rates.bytes_per_s, now);
+        load_payload(to, message, bytes, (left - keep) * settings.bytes_per_s, now);
     }
     spend(bytes.size());
     hand_out(to, std::move(bytes), now);
@@ -116,7 +116,7 @@
                           Micros now) {
     auto base = encode(message).size();
     // A third of what is saved goes into one datagram.
-    auto spare_bytes = std::max(0.0, (left - kept_back(SendPriority::News)) * rates.bytes_per_s / 3);
+    auto spare_bytes = std::max(0.0, (left - kept_back(SendPriority::News)) * settings.bytes_per_s / 3);
     auto room = std::min(static_cast<double>(longest) - static_cast<double>(base), spare_bytes);
     if (base + accusation_bytes <= longest) add_accusation_of_receiver(to, message, now);
     bool forced = !first.empty() && first.size() <= most_forced;
@@ -170,7 +170,7 @@
     auto free = std::min(longest - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
     if (free >= least_payload) message.payload = piggyback->load(to, free, now);
     if (message.payload.size() > free) message.payload.clear();
-    seen.payload_bytes += message.payload.size();
+    seen.piggyback_bytes += message.payload.size();
     if (!message.payload.empty()) bytes = encode(message);
 }
 
@@ -181,17 +181,17 @@
     out.push_back({to, std::move(bytes)});
 }
 
-bool Membership::tell(Number to, bool urgent, Micros now) {
+bool Membership::send_piggyback(Number to, bool urgent, Micros now) {
     Message news;
     news.kind = Kind::News;
     auto need = urgent ? SendPriority::IndirectProbe : SendPriority::Spare;
     // Guards against datagrams that have no room for what they are sent for.
-    bool enough = bytes_left(now) - kept_back(need) * rates.bytes_per_s >= own_datagram;
+    bool enough = bytes_left(now) - kept_back(need) * settings.bytes_per_s >= own_datagram;
     if (!enough) return false;
     return send(to, news, need, now, {}, true);
 }
 
-bool Membership::tell(std::size_t most, int in_zone, bool urgent, Micros now) {
+bool Membership::send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now) {
     auto to = pick(most, -1, in_zone);
     // Who hears nobody may still be heard: it speaks to those that were there last.
     for (Number step = 1; to.empty() && step < routers(); step++) {
@@ -202,14 +202,14 @@
             to.push_back(who);
     }
     bool sent = false;
-    for (auto who : to) sent |= tell(who, urgent, now);
+    for (auto who : to) sent |= send_piggyback(who, urgent, now);
     piggyback_waits = urgent && !sent;
     return sent;
 }
 
 double Membership::bytes_left(Micros now) {
-    auto own = byte_budget.left(now);
-    return page_server ? std::min(own, page_server->left(now)) : own;
+    auto own = byte_budget.available(now);
+    return page_server ? std::min(own, page_server->available(now)) : own;
 }
 
 void Membership::spend(std::size_t bytes) {
@@ -217,8 +217,8 @@
     if (page_server) page_server->spend_own(bytes);
 }
 
-double Membership::spare(Micros now) {
-    return std::max(0.0, bytes_left(now) - kept_back(SendPriority::Spare) * rates.bytes_per_s);
+double Membership::spare_bytes(Micros now) {
+    return std::max(0.0, bytes_left(now) - kept_back(SendPriority::Spare) * settings.bytes_per_s);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -55,7 +55,7 @@
 // accused once more, or one more of the others, and tells them what it holds, who put it right if they know
 // better. False where nothing could be sent.
 bool Membership::make_last_call(Number who, Micros now) {
-    if (bytes_left(now) <= rates.bytes_per_s * kept_back(SendPriority::Answer)) return false;
+    if (bytes_left(now) <= settings.bytes_per_s * kept_back(SendPriority::Answer)) return false;
     Message ping;
     ping.kind = Kind::Ping;
     bool asks = asks_accused();
--- a/src/peers/message.hpp
+++ b/src/peers/message.hpp
@@ -20,7 +20,7 @@
 
 enum class Kind { Ping = 1, Heard, Ask, No, Digest, News, RangeRequest, RangePage };
 
-// Kinds that only a tier with Rates::state_transfer knows.
+// Kinds that only a tier with MembershipSettings::state_transfer knows.
 inline bool of_state_transfer(Kind kind) { return kind == Kind::RangeRequest || kind == Kind::RangePage; }
 
 struct Accusation {
--- a/src/peers/page_server.hpp
+++ b/src/peers/page_server.hpp
@@ -12,7 +12,7 @@
 
 class PageServer {
 public:
-    // `membership_bytes_per_s`: Rates::bytes_per_s.
+    // `membership_bytes_per_s`: MembershipSettings::bytes_per_s.
     PageServer(double membership_bytes_per_s, Micros now)
         : reserved(membership_bytes_per_s * reserved_seconds),
           pages(pages_bytes_per_s, now, pages_burst_bytes),
@@ -20,7 +20,7 @@
     }
     bool allows(std::size_t bytes, Micros now) {
         auto needed = static_cast<double>(bytes);
-        return pages.left(now) >= needed && total.left(now) >= reserved + needed;
+        return pages.available(now) >= needed && total.available(now) >= reserved + needed;
     }
     void spend_page(std::size_t bytes) {
         pages.spend(bytes);
@@ -28,7 +28,7 @@
     }
     // What the membership sends itself, and may send at most.
     void spend_own(std::size_t bytes) { total.spend(bytes); }
-    double left(Micros now) { return total.left(now); }
+    double available(Micros now) { return total.available(now); }
 
 private:
     // A start takes some 26 KB at 5,900 routers; when a tenth starts at once each helper gives 300 bytes a
--- a/src/peers/request_health.hpp
+++ b/src/peers/request_health.hpp
@@ -13,7 +13,7 @@
 class RequestHealth {
 public:
     // Sums since the start. Answers whether it is ill.
-    bool told(std::uint64_t ended, std::uint64_t bad, Micros now) {
+    bool update(std::uint64_t ended, std::uint64_t bad, Micros now) {
         if (now - at >= second) {
             at = now;
             seconds[next++ % seconds.size()] = {ended, bad};
--- a/src/peers/state_transfer.cpp
+++ b/src/peers/state_transfer.cpp
@@ -82,7 +82,7 @@
 
 void StateTransfer::count(std::size_t bytes, Micros now) {
     if (now == back_at) return;
-    if (traffic.left(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
+    if (traffic.available(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
 }
 
 void StateTransfer::begin_after_pause(Micros now) {
@@ -108,7 +108,7 @@
         if (one.request.helper != from || page.first < one.request.first || page.end() > one.end()) continue;
         answered = true;
         answered_by_complete |= complete;
-        traffic.spend_back(page_bytes);  // its bytes were counted when it came
+        traffic.refund(page_bytes);  // its bytes were counted when it came
         learn_density(page);
         if (complete_members(page, complete) > 0) {
             one.news = true;
@@ -217,7 +217,7 @@
     if (!gap) return {};
     auto pages = pages_for(gap->members);
     auto bytes = static_cast<std::size_t>(pages) * page_bytes;
-    if (traffic.left(now) < static_cast<double>(bytes)) return {};
+    if (traffic.available(now) < static_cast<double>(bytes)) return {};
     auto helper = choose(rank);
     if (!helper) {
         ask_at = now + first_pause;
@@ -234,7 +234,7 @@
     auto one = open[index];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     all_claimed = false;
-    traffic.spend_back(static_cast<std::size_t>(one.pages_left) * page_bytes);
+    traffic.refund(static_cast<std::size_t>(one.pages_left) * page_bytes);
     closed.push_back({one.request.helper, one.request.first, one.end(), now});
     if (closed.size() > most_closed) closed.pop_front();
     if (one.news)
@@ -281,7 +281,7 @@
     if (!wants_more()) return at;
     at = std::min({at, news_at + idle_limit, began + time_limit});
     if (open.size() >= most_open || all_claimed) return at;
-    auto earned = traffic.when(static_cast<double>(pages_a_request * page_bytes)) + ms;
+    auto earned = traffic.available_at(static_cast<double>(pages_a_request * page_bytes)) + ms;
     return std::min(at, std::max(ask_at, earned));
 }
 
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -42,15 +42,15 @@
     return made;
 }
 
-peers::Start start_of(peers::Number self, int zone, const HollowTerms& terms, Micros now) {
-    peers::Start start;
+peers::MembershipConfig start_of(peers::Number self, int zone, const HollowTerms& terms, Micros now) {
+    peers::MembershipConfig start;
     start.self = self;
     start.routers = terms.addresses->routers();
     start.zone = zone;
     start.life = static_cast<peers::Life>(now / 1000);
     start.seed = terms.seed + static_cast<std::uint64_t>(self);
     start.now = now;
-    start.rates = terms.rates;
+    start.settings = terms.rates;
     return start;
 }
 
@@ -78,7 +78,7 @@
     return found == numbers.end() ? -1 : found->second;
 }
 
-HollowRouter::Life::Life(event_base* base, const HollowTerms& terms, const peers::Start& start,
+HollowRouter::Life::Life(event_base* base, const HollowTerms& terms, const peers::MembershipConfig& start,
                          const shared::Terms& shared_terms, EventNumber last_event, std::size_t machine)
     : membership(start),
       exchange(membership, shared_terms),
@@ -141,17 +141,17 @@
     hear(times);
     take_events(times);
     share(times);
-    if (now >= life->membership.due()) life->membership.pass(now);
+    if (now >= life->membership.next_tick()) life->membership.tick(now);
     look_for_a_control_machine(now);
     send();
     note_changes();
     terms.members->running(self, life->membership.self());
-    wake.set(life->membership.due() - now);
+    wake.set(life->membership.next_tick() - now);
 }
 
 void HollowRouter::hear(const shared::Times& now) {
     life->exchange.at(now);
-    for (auto& [from, bytes] : received) life->membership.hear(from, bytes, now.unix);
+    for (auto& [from, bytes] : received) life->membership.receive(from, bytes, now.unix);
     received.clear();
 }
 
@@ -184,7 +184,7 @@
 }
 
 void HollowRouter::send() {
-    for (auto& one : life->membership.outgoing()) {
+    for (auto& one : life->membership.take_outgoing()) {
         auto to = to_system(terms.addresses->address_of(one.to));
         // What the system has no room for is lost, as on the way.
         sendto(socket, one.bytes.data(), one.bytes.size(), 0, reinterpret_cast<sockaddr*>(&to), sizeof to);
@@ -195,10 +195,10 @@
 }
 
 void HollowRouter::note_changes() {
-    for (auto& change : life->membership.changes())
+    for (auto& change : life->membership.take_state_changes())
         if (change.after == peers::State::Dead) deaths.emplace_back(change.who, change.at);
-    life->membership.heard_of();
-    life->membership.health();
+    life->membership.take_link_reports();
+    life->membership.take_health_changes();
 }
 
 // Ends as soon as too many are known to be missing, since it is asked often.
--- a/src/rig/hollow/hollow_router.hpp
+++ b/src/rig/hollow/hollow_router.hpp
@@ -44,7 +44,7 @@
     MemberTable* members = nullptr;
     std::vector<DatagramBytes>* far_bytes = nullptr;  // by number of the far router
     std::vector<feed::Address> control_machines;
-    peers::Rates rates;
+    peers::MembershipSettings rates;
     bool shared_facts = true;
     std::uint64_t seed = 1;
 };
@@ -68,7 +68,7 @@
     peers::Number number() const { return self; }
     const DatagramBytes& bytes() const { return own_bytes; }
     std::uint64_t longest_datagram() const { return longest; }
-    std::uint64_t away() const { return life ? life->membership.figures().away : 0; }
+    std::uint64_t away() const { return life ? life->membership.counters().pauses : 0; }
     Micros started_at() const { return life ? life->started : 0; }
     // Whether it knows the exact accounts of that share of the routers that run.
     bool knows(double share) const;
@@ -78,7 +78,7 @@
 private:
     // All that a restart loses.
     struct Life {
-        Life(event_base* base, const HollowTerms& terms, const peers::Start& start,
+        Life(event_base* base, const HollowTerms& terms, const peers::MembershipConfig& start,
              const shared::Terms& shared_terms, EventNumber last_event, std::size_t machine);
         node::Clock clock;
         peers::Membership membership;
--- a/src/rig/hollow/messages.hpp
+++ b/src/rig/hollow/messages.hpp
@@ -40,7 +40,7 @@
     std::vector<PackedAddress> listen;  // where they listened before; empty: any free port
     std::uint64_t event_capacity = 0;   // numbers the arrival log has room for
     Micros run_start = 0;               // Unix time that arrivals count from
-    double bytes_per_s = 0;             // budget of the membership, see peers::Rates
+    double bytes_per_s = 0;             // budget of the membership, see peers::MembershipSettings
     bool state_transfer = false;
     bool shared_facts = true;  // routers tell one another of purges and drains
     std::uint64_t seed = 1;
--- a/src/rig/hollow/worker.cpp
+++ b/src/rig/hollow/worker.cpp
@@ -54,7 +54,7 @@
     int first = 0;
     std::uint64_t seed = 1;
     bool shared_facts = true;
-    peers::Rates rates;
+    peers::MembershipSettings rates;
     launch::Launch launch;
     std::unique_ptr<ArrivalLog> arrivals;
     std::unique_ptr<MemberTable> members;
--- a/src/rig/partner.hpp
+++ b/src/rig/partner.hpp
@@ -41,7 +41,8 @@
 
 class Partner {
 public:
-    explicit Partner(const peers::Start& start) : circle_(std::make_unique<peers::Membership>(start)) {
+    explicit Partner(const peers::MembershipConfig& start)
+        : circle_(std::make_unique<peers::Membership>(start)) {
         auto terms = partner_terms().exchange;
         terms.now = {start.now, partner_terms().steady()};
         terms.seed = static_cast<std::uint32_t>(start.seed);
@@ -50,14 +51,14 @@
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): asked of a partner, as the rest is.
     shared::Times times(peers::Micros unix) const { return {unix, partner_terms().steady()}; }
 
-    void hear(peers::Number from, std::string_view datagram, peers::Micros now) {
+    void receive(peers::Number from, std::string_view datagram, peers::Micros now) {
         exchange_->at(times(now));
-        circle_->hear(from, datagram, now);
+        circle_->receive(from, datagram, now);
         share(now);
     }
-    void pass(peers::Micros now) {
+    void tick(peers::Micros now) {
         exchange_->at(times(now));
-        circle_->pass(now);
+        circle_->tick(now);
         share(now);
     }
     void share(peers::Micros now) {
@@ -67,12 +68,12 @@
         for (auto& endpoint : changes.listing.caches) changed.push_back(endpoint);
         for (auto& purge : changes.purges) purges.push_back(purge);
     }
-    peers::Micros due() const { return circle_->due(); }
+    peers::Micros next_tick() const { return circle_->next_tick(); }
     void leave(peers::Micros now) { circle_->leave(now); }
-    void gone(peers::Micros now) { circle_->gone(now); }
-    std::vector<peers::Outgoing> outgoing() { return circle_->outgoing(); }
-    std::vector<peers::Change> changes() { return circle_->changes(); }
-    const peers::Figures& figures() const { return circle_->figures(); }
+    void announce_exit(peers::Micros now) { circle_->announce_exit(now); }
+    std::vector<peers::Outgoing> take_outgoing() { return circle_->take_outgoing(); }
+    std::vector<peers::StateChange> take_state_changes() { return circle_->take_state_changes(); }
+    const peers::MembershipCounters& counters() const { return circle_->counters(); }
 
     peers::Membership& membership() { return *circle_; }
     shared::Exchange& exchange() { return *exchange_; }
--- a/src/rig/scale/scenarios.cpp
+++ b/src/rig/scale/scenarios.cpp
@@ -65,7 +65,9 @@
 class DeathObserver {
 public:
     explicit DeathObserver(SimulatedFleet& fleet) : fleet(fleet) {
-        fleet.on_change = [this](Number observer, const peers::Change& change) { note(observer, change); };
+        fleet.on_change = [this](Number observer, const peers::StateChange& change) {
+            note(observer, change);
+        };
     }
     ~DeathObserver() { fleet.on_change = nullptr; }
     DeathObserver(const DeathObserver&) = delete;
@@ -82,7 +84,7 @@
     int take_false_declarations() { return std::exchange(falsely, 0); }
 
 private:
-    void note(Number observer, const peers::Change& change) {
+    void note(Number observer, const peers::StateChange& change) {
         if (change.after != peers::State::Dead) return;
         if (fleet.runs(change.who)) {
             falsely += fleet.membership(change.who)->self().life == change.member_state.life;
--- a/src/rig/scale/scenarios.hpp
+++ b/src/rig/scale/scenarios.hpp
@@ -10,8 +10,8 @@
 
 namespace quillgrade::rig::scale {
 
-// Rates::bytes_per_s, what a router may send. With as much coming in, and a second's worth at once, two
-// seconds stay within 4,000 bytes a second.
+// MembershipSettings::bytes_per_s, what a router may send. With as much coming in, and a second's worth at
+// once, two seconds stay within 4,000 bytes a second.
 inline constexpr double allowed_bytes_per_s = 1'000;
 inline constexpr double complete_view = 0.99;  // share of the live members whose account is exact
 
@@ -68,7 +68,7 @@
     int routers = 0;
     bool state_transfer = false;
     std::uint64_t seed = 0;
-    double bytes_per_s = 0;     // Rates::bytes_per_s
+    double bytes_per_s = 0;     // MembershipSettings::bytes_per_s
     Summary quiet_bytes_per_s;  // sent and received, payload of UDP
     Summary quiet_bytes_sent_per_s;
     Summary quiet_busiest_bytes_per_s;
@@ -88,7 +88,7 @@
     std::uint64_t seed = 1;
     double purges_per_s = 120;
     bool burst = false;          // ten times as many for two seconds
-    double bytes_per_s = 2'000;  // Rates::bytes_per_s: facts take all that there is
+    double bytes_per_s = 2'000;  // MembershipSettings::bytes_per_s: facts take all that there is
     Micros length = 20 * second;
     Micros wait = 8 * second;  // the promise, after the last purge
 };
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -59,10 +59,10 @@
 
 // ---- lives
 
-peers::Start SimulatedFleet::start_of(Number who) {
+peers::MembershipConfig SimulatedFleet::start_of(Number who) {
     auto& router = at(who);
     router.starts++;
-    peers::Start start;
+    peers::MembershipConfig start;
     start.self = who;
     start.routers = routers();
     start.zone = topology.at(who).zone;
@@ -70,7 +70,7 @@
     start.seed = options.seed * seed_step + static_cast<std::uint64_t>(who) * 1'000 +
                  static_cast<std::uint64_t>(router.starts);
     start.now = clock(router);
-    start.rates = options.rates;
+    start.settings = options.rates;
     return start;
 }
 
@@ -129,13 +129,13 @@
     if (router.exchange) router.exchange->at(times(router));
     for (auto& page : pages) {
         auto& told = page.by_first.teller == who ? page.by_other : page.by_first;
-        for (int i = 0; i < tellings; i++) router.membership->hear(told.teller, told.bytes, clock(router));
+        for (int i = 0; i < tellings; i++) router.membership->receive(told.teller, told.bytes, clock(router));
     }
     for (Number other = 0; other < routers(); other++)
         if (other != who)
-            router.membership->hear(other, greetings[static_cast<std::size_t>(other)], clock(router));
-    router.membership->outgoing();
-    router.membership->changes();
+            router.membership->receive(other, greetings[static_cast<std::size_t>(other)], clock(router));
+    router.membership->take_outgoing();
+    router.membership->take_state_changes();
 }
 
 // ---- what happens
@@ -225,7 +225,8 @@
     router.traffic.bytes_in += bytes.size();
     router.traffic.datagrams_in++;
     router.window_bytes += static_cast<double>(bytes.size());
-    act(event.to, [&](peers::Membership& membership) { membership.hear(event.from, bytes, clock(router)); });
+    act(event.to,
+        [&](peers::Membership& membership) { membership.receive(event.from, bytes, clock(router)); });
 }
 
 // One iteration of the router's loop: what came is heard, then what is due is done.
@@ -237,14 +238,14 @@
     auto& membership = *router.membership;
     if (router.exchange) router.exchange->at(times(router));
     what(membership);
-    if (clock(router) >= membership.due()) membership.pass(clock(router));
+    if (clock(router) >= membership.next_tick()) membership.tick(clock(router));
     shared::Facts::Changes told;
     if (router.exchange) told = router.exchange->pass(router.stream_live_since, times(router));
-    auto outgoing = membership.outgoing();
-    auto changes = membership.changes();
-    membership.heard_of();
-    membership.health();
-    auto due = membership.due() - router.skew;
+    auto outgoing = membership.take_outgoing();
+    auto changes = membership.take_state_changes();
+    membership.take_link_reports();
+    membership.take_health_changes();
+    auto due = membership.next_tick() - router.skew;
     router.traffic.busy_seconds += processor_seconds() - begun;
 
     for (auto& datagram : outgoing) send(who, datagram);
--- a/src/rig/scale/simulated_fleet.hpp
+++ b/src/rig/scale/simulated_fleet.hpp
@@ -23,7 +23,7 @@
 struct FleetOptions {
     std::uint64_t seed = 1;
     double loss = 0.01;
-    peers::Rates rates{};
+    peers::MembershipSettings rates{};
     bool with_exchange = false;
 };
 
@@ -70,7 +70,7 @@
     // Share of the live members whose exact account `who` holds.
     double share_known(Number who) const;
 
-    std::function<void(Number observer, const peers::Change&)> on_change;
+    std::function<void(Number observer, const peers::StateChange&)> on_change;
     // By its own stream, or as a fact that it had not heard yet.
     std::function<void(Number router, const feed::PurgeNotice&)> on_purge;
 
@@ -109,7 +109,7 @@
     const Router& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
     Micros clock(const Router& router) const { return time + router.skew; }
     shared::Times times(const Router& router) const { return {clock(router), time}; }
-    peers::Start start_of(Number who);
+    peers::MembershipConfig start_of(Number who);
     std::string page_of(Number teller, Number first) const;
     void introduce(Number who, const std::vector<Page>& pages, const std::vector<std::string>& greetings);
     void push(Micros when, EventKind kind, Number from, Number to, std::uint32_t slot);
--- a/src/rig/simulated.hpp
+++ b/src/rig/simulated.hpp
@@ -37,10 +37,10 @@
         Micros skew = 0;                                   // its clock less the true one
         std::vector<std::pair<int, std::string>> waiting;  // datagrams that came while it was stopped
         std::int64_t wakes = 0;                            // the number of the wake-up that counts
-        peers::Figures before;                             // of earlier lives
+        peers::MembershipCounters before;                  // of earlier lives
     };
 
-    Simulated(int count, int zones, std::uint64_t seed, const peers::Rates& rates = {},
+    Simulated(int count, int zones, std::uint64_t seed, const peers::MembershipSettings& rates = {},
               LinkConditions conditions = {})
         : conditions(conditions),
           rates(rates),
@@ -64,7 +64,7 @@
         one.starts++;
         one.stopped = false;
         one.waiting.clear();
-        peers::Start start;
+        peers::MembershipConfig start;
         start.self = who;
         start.routers = count();
         start.zone = who % zones;
@@ -72,7 +72,7 @@
         start.life = static_cast<peers::Life>((clock(who) - ran) / 1000);
         start.seed = seed * 1'000'003 + static_cast<std::uint64_t>(who * 1000 + one.starts);
         start.now = clock(who);
-        start.rates = rates;
+        start.settings = rates;
         one.protocol = std::make_unique<Protocol>(start);
         // Routers of one start do not act in the same microsecond.
         wake(who, time + boost::random::uniform_int_distribution<int>(0, 50'000)(chance));
@@ -82,7 +82,7 @@
     }
     void kill(int who) {
         auto& one = router(who);
-        if (one.protocol) add(one.before, one.protocol->figures());
+        if (one.protocol) add(one.before, one.protocol->counters());
         one.protocol.reset();
         one.wakes++;
     }
@@ -96,7 +96,7 @@
         act(who, [&](Protocol& p) { p.leave(clock(who)); });
         at(time + 1'000'000, [this, who] {
             if (!router(who).protocol) return;
-            act(who, [&](Protocol& p) { p.gone(clock(who)); });
+            act(who, [&](Protocol& p) { p.announce_exit(clock(who)); });
             kill(who);
         });
     }
@@ -121,9 +121,9 @@
         }
         time = until;
     }
-    peers::Figures figures(int who) {
+    peers::MembershipCounters figures(int who) {
         auto sum = router(who).before;
-        if (router(who).protocol) add(sum, router(who).protocol->figures());
+        if (router(who).protocol) add(sum, router(who).protocol->counters());
         return sum;
     }
     // Something else that happens to a router in its own loop; what it sends then is sent.
@@ -133,7 +133,7 @@
     }
     std::uint64_t delivered = 0;
 
-    std::function<void(int observer, const peers::Change&)> on_change;
+    std::function<void(int observer, const peers::StateChange&)> on_change;
     std::function<void(int from, int to, const std::string&)> on_send;
     std::function<void(int from, int to, const std::string&)> on_deliver;
     // How long a router is taken to have been running at its first start here: lives are apart so, as they
@@ -153,17 +153,17 @@
             return at != other.at ? at > other.at : order > other.order;
         }
     };
-    static void add(peers::Figures& to, const peers::Figures& from) {
+    static void add(peers::MembershipCounters& to, const peers::MembershipCounters& from) {
         to.sent += from.sent;
         to.bytes_sent += from.bytes_sent;
-        to.heard += from.heard;
-        to.held_back += from.held_back;
-        to.away += from.away;
-        to.refuted += from.refuted;
-        to.accused += from.accused;
+        to.received += from.received;
+        to.withheld += from.withheld;
+        to.pauses += from.pauses;
+        to.refutations += from.refutations;
+        to.accusations += from.accusations;
         to.range_requests += from.range_requests;
-        to.pages_taken += from.pages_taken;
-        to.pages_unasked += from.pages_unasked;
+        to.pages_accepted += from.pages_accepted;
+        to.pages_unsolicited += from.pages_unsolicited;
         to.pages_sent += from.pages_sent;
         to.requests_shed += from.requests_shed;
     }
@@ -188,8 +188,9 @@
         auto& one = router(who);
         if (!one.protocol || one.stopped) return;
         act(who, [&](Protocol& p) {
-            for (auto& [from, datagram] : std::exchange(one.waiting, {})) p.hear(from, datagram, clock(who));
-            if (due || clock(who) >= p.due()) p.pass(clock(who));
+            for (auto& [from, datagram] : std::exchange(one.waiting, {}))
+                p.receive(from, datagram, clock(who));
+            if (due || clock(who) >= p.next_tick()) p.tick(clock(who));
         });
     }
     template <class What>
@@ -197,10 +198,10 @@
         auto& one = router(who);
         if (!one.protocol) return;
         what(*one.protocol);
-        for (auto& sent : one.protocol->outgoing()) send(who, sent.to, std::move(sent.bytes));
-        for (auto& change : one.protocol->changes())
+        for (auto& sent : one.protocol->take_outgoing()) send(who, sent.to, std::move(sent.bytes));
+        for (auto& change : one.protocol->take_state_changes())
             if (on_change) on_change(who, change);
-        if (one.protocol) wake(who, std::max(time + 1'000, one.protocol->due() - one.skew));
+        if (one.protocol) wake(who, std::max(time + 1'000, one.protocol->next_tick() - one.skew));
     }
     void send(int from, int to, std::string bytes) {
         if (on_send) on_send(from, to, bytes);
@@ -215,7 +216,7 @@
         }
     }
 
-    peers::Rates rates;
+    peers::MembershipSettings rates;
     int zones;
     boost::random::mt19937 chance;
     std::uint64_t seed;
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -56,14 +56,14 @@
       terms(terms),
       hash(hash_of(membership, terms)),
       facts(terms.site.purge_done, membership.routers()),
-      quotas(quota_terms(membership, terms, membership.number_of_self())),
-      request_counts(membership.number_of_self(), membership.routers()),
+      quotas(quota_terms(membership, terms, membership.own_number())),
+      request_counts(membership.own_number(), membership.routers()),
       unlike(static_cast<std::size_t>(membership.routers())),
       last(terms.now) {
-    membership.carry(this);
+    membership.set_piggyback(this);
 }
 
-Exchange::~Exchange() { membership.carry(nullptr); }
+Exchange::~Exchange() { membership.set_piggyback(nullptr); }
 
 // ---- what comes
 
@@ -95,7 +95,7 @@
     }
     if (terms.parts.judgements && !load.complaints.empty()) {
         auto view = membership.view(from, now.unix);
-        double trust = view.state == peers::State::Alive && !view.ill ? 1 : 0.25;
+        double trust = view.state == peers::State::Alive && !view.unhealthy ? 1 : 0.25;
         for (auto& one : load.complaints) {
             health_reports.hear(from, view.zone, trust, load.breadth, one, now.unix);
             seen.complaints_heard++;
@@ -164,15 +164,15 @@
     // Each that is written to has its datagram at once while there are bytes; else it rides on the next one.
     for (auto post = out.begin(); post != out.end();) {
         bool empty = post->second.asks.empty() && post->second.grants.empty();
-        if (!empty) membership.tell(post->first, true, now.unix);
+        if (!empty) membership.send_piggyback(post->first, true, now.unix);
         empty = post->second.asks.empty() && post->second.grants.empty();
         bool old = now.steady - post->second.at >= posted_for;
         post = empty || old ? out.erase(post) : std::next(post);
     }
     tell_facts(now);
     if (terms.parts.counts && !facts_wait && now.unix >= spare_at &&
-        membership.spare(now.unix) > spare_datagram && request_counts.news()) {
-        membership.tell(1, membership.own_zone(), false, now.unix);
+        membership.spare_bytes(now.unix) > spare_datagram && request_counts.news()) {
+        membership.send_piggyback(1, membership.own_zone(), false, now.unix);
         spare_at = now.unix + spare_every;
     }
     if (now.unix >= expire_at) {
@@ -188,7 +188,7 @@
     facts_wait = false;
     if (!terms.parts.facts) return;
     if (facts.news()) {
-        facts_wait = !membership.tell(3, -1, true, now.unix);
+        facts_wait = !membership.send_piggyback(3, -1, true, now.unix);
         return;
     }
     // Guards against a router that is never told, as those who know use up their bytes on somebody who is cut
@@ -199,7 +199,7 @@
     auto who = static_cast<Number>(behind - unlike.begin());
     if (membership.state(who) != peers::State::Alive)
         *behind = false;  // a datagram of its own says so anew
-    else if (membership.insist(who, now.unix))
+    else if (membership.send_piggyback_or_reserve(who, now.unix))
         mend_at = now.unix + mend_every;
     else
         facts_wait = true;
@@ -250,7 +250,7 @@
             {one.server, static_cast<std::uint32_t>(one.started / ms), one.samples, one.bad, one.slow, 0});
     breadth = {measured, static_cast<int>(told.size())};
     complaints_at = now.unix;
-    if (news) membership.tell(3, membership.own_zone(), true, now.unix);
+    if (news) membership.send_piggyback(3, membership.own_zone(), true, now.unix);
 }
 
 Hearsay Exchange::hearsay(CacheId server, Micros started, const Times& now) const {
@@ -267,7 +267,7 @@
     if (!terms.parts.counts) return 1;
     int count = 1;
     for (Number who = 0; who < membership.routers(); who++)
-        if (who != membership.number_of_self() && membership.state(who) == peers::State::Alive &&
+        if (who != membership.own_number() && membership.state(who) == peers::State::Alive &&
             membership.zone_of(who) == membership.own_zone())
             count++;
     return count;
--- a/tests/cut_expiry_test.cpp
+++ b/tests/cut_expiry_test.cpp
@@ -25,13 +25,13 @@
 
 // Router 0, which has missed what `silent` sent it, as the helper's pings on its behalf show.
 Membership with_a_silent_router() {
-    Start start;
+    MembershipConfig start;
     start.routers = 4;
     start.life = 1000;
     start.now = noon_at;
     Membership membership(start);
     for (int i = 0; i < misses_of_a_cut; i++)
-        membership.hear(helper, datagram_of_helper(Kind::Ping, silent, 500), noon_at);
+        membership.receive(helper, datagram_of_helper(Kind::Ping, silent, 500), noon_at);
     return membership;
 }
 
@@ -40,17 +40,17 @@
 TEST_CASE("a member is silent no longer when its cut expires") {
     auto membership = with_a_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
-    membership.heard_of();
-    membership.changes();
-    membership.pass(past_expiry);
+    membership.take_link_reports();
+    membership.take_state_changes();
+    membership.tick(past_expiry);
     CHECK(membership.cuts().empty());
     CHECK(membership.state(silent) == State::Alive);
-    auto changes = membership.changes();
+    auto changes = membership.take_state_changes();
     REQUIRE(changes.size() == 1);
     CHECK(changes[0].who == silent);
     CHECK(changes[0].after == State::Alive);
     CHECK(changes[0].by == -1);
-    auto reports = membership.heard_of();
+    auto reports = membership.take_link_reports();
     REQUIRE(reports.size() == 1);
     CHECK(reports[0].speaker == silent);
     CHECK(reports[0].listener == 0);
@@ -60,10 +60,10 @@
 TEST_CASE("the end of a cut is told when a new life of the speaker ends it") {
     auto membership = with_a_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
-    membership.heard_of();
-    membership.hear(helper, datagram_of_helper(Kind::News, -1, 600), noon_at + second / 10);
+    membership.take_link_reports();
+    membership.receive(helper, datagram_of_helper(Kind::News, -1, 600), noon_at + second / 10);
     CHECK(membership.state(silent) == State::Alive);
-    auto reports = membership.heard_of();
+    auto reports = membership.take_link_reports();
     REQUIRE(reports.size() == 1);
     CHECK(reports[0].speaker == silent);
     CHECK(!reports[0].cut);
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -25,7 +25,7 @@
 }
 
 Membership router_of_four() {
-    Start start;
+    MembershipConfig start;
     start.routers = 4;
     start.life = 1000;
     start.now = noon_at;
@@ -41,7 +41,7 @@
 // How many of the reports that `membership` sends now tell the end of the cut.
 int ends_told(Membership& membership) {
     int told = 0;
-    for (auto& sent : membership.outgoing()) {
+    for (auto& sent : membership.take_outgoing()) {
         auto decoded = decode(sent.bytes, 4, noon_at);
         REQUIRE(decoded.message.has_value());
         for (auto& report : decoded.message->link_reports)
@@ -86,28 +86,28 @@
 
 TEST_CASE("a digest with a cut that has ended is answered with its end, however often that was told") {
     auto membership = router_of_four();
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 1, true}), noon_at);
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
+    membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 1, true}), noon_at);
+    membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
     REQUIRE(!holds_cut(membership, speaker, listener));
     // Pings are answered with what is news here until it has been told often enough.
     int told = 0;
     for (int i = 0; i < 20; i++) {
         auto now = noon_at + second * (i + 1);
-        membership.hear(other, datagram(other, Kind::Ping, {speaker, listener, 1, true}), now);
+        membership.receive(other, datagram(other, Kind::Ping, {speaker, listener, 1, true}), now);
         told = ends_told(membership);
     }
     REQUIRE(told == 0);
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}),
-                    noon_at + 21 * second);
+    membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}),
+                       noon_at + 21 * second);
     CHECK(ends_told(membership) == 1);
 }
 
 TEST_CASE("a cut that is known here as told by a digest, or told anew since its end, is not answered") {
     auto membership = router_of_four();
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 3, true}), noon_at);
-    membership.outgoing();
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 3, true}), noon_at + second);
+    membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
+    membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 3, true}), noon_at);
+    membership.take_outgoing();
+    membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 3, true}), noon_at + second);
     CHECK(ends_told(membership) == 0);
     CHECK(holds_cut(membership, speaker, listener));
 }
@@ -115,9 +115,9 @@
 // Else two routers could tell each other of it for good after its listener has gone.
 TEST_CASE("a cut is not taken over from a digest") {
     auto membership = router_of_four();
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}), noon_at);
+    membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}), noon_at);
     CHECK(!holds_cut(membership, speaker, listener));
-    membership.hear(other, datagram(other, Kind::News, {speaker, listener, 1, true}), noon_at);
+    membership.receive(other, datagram(other, Kind::News, {speaker, listener, 1, true}), noon_at);
     CHECK(holds_cut(membership, speaker, listener));
 }
 
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -42,7 +42,7 @@
         terms.exchange.parts = parts;
         terms.exchange.site = rig::shared_site();
         terms.steady = [this] { return fleet ? fleet->now() : 0; };
-        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::Rates{}, conditions);
+        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::MembershipSettings{}, conditions);
         fleet->start_all();
         feed::Listing all{true, {}};
         for (CacheId id = 1; id <= servers; id++) all.caches.push_back(server(id));
@@ -96,7 +96,7 @@
     // Router `who` sends to another until an own datagram for the sharing has to wait.
     void use_up_bytes(Number who, Number to) {
         fleet->visit(who, [&](rig::Partner& one) {
-            while (one.membership().tell(to, true, fleet->clock(who))) {
+            while (one.membership().send_piggyback(to, true, fleet->clock(who))) {
             }
         });
     }
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -21,7 +21,7 @@
 // What a run showed, counted by the one who stands outside.
 struct Watch {
     explicit Watch(Simulated<>& sim) : sim(sim) {
-        sim.on_change = [this](int observer, const Change& change) {
+        sim.on_change = [this](int observer, const StateChange& change) {
             seen.push_back({observer, change, this->sim.now()});
             if (change.after == State::Dead && this->sim.runs(change.who)) false_dead++;
         };
@@ -33,7 +33,7 @@
     }
     struct Seen {
         int observer;
-        Change change;
+        StateChange change;
         Micros at;
     };
     Simulated<>& sim;
@@ -83,7 +83,7 @@
     sim.start(4);
     // What was said of the last life is still under way, and comes late.
     for (int i = 0; i < 8; i++)
-        if (i != 4 && i != 2) sim.protocol(i)->hear(2, old, sim.clock(i));
+        if (i != 4 && i != 2) sim.protocol(i)->receive(2, old, sim.clock(i));
     if (!agree_within(sim, 10 * second)) return false;
     auto life = sim.protocol(4)->self();
     for (int i = 0; i < 8; i++)
@@ -101,7 +101,7 @@
     // Somebody who was behind tells of it as alive, with an incarnation beyond its last.
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1)
-            sim.protocol(i)->hear(
+            sim.protocol(i)->receive(
                 1,
                 telling(sim, 1,
                         {5, {before.life, Phase::Here, before.incarnation + 50, Verdict::Alive, false}}),
@@ -134,7 +134,7 @@
             for (int who : {1, 4, 7, 10}) sim.stop(who);
             sim.run_until(sim.now() + pause);
             auto woke = sim.now();
-            sim.on_change = [&](int observer, const Change& change) {
+            sim.on_change = [&](int observer, const StateChange& change) {
                 bool paused = change.who % 3 == 1, by_paused = observer % 3 == 1;
                 bool own = change.by == observer || change.by < 0;
                 if (by_paused && own && (change.after == State::Suspected || change.after == State::Dead) &&
@@ -173,8 +173,8 @@
     settle(sim);
     auto life = sim.protocol(4)->self().life;
     for (int i = 0; i < 4; i++)
-        sim.protocol(i)->hear(-1, telling(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
-                              sim.clock(i));
+        sim.protocol(i)->receive(-1, telling(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
+                                 sim.clock(i));
     return sim.protocol(0)->state(4) == State::Alive;
 }
 
@@ -229,7 +229,7 @@
     ping.self = sim.protocol(1)->self();
     auto before = sim.figures(0).bytes_sent;
     for (int i = 0; i < 10'000; i++) {
-        sim.protocol(0)->hear(1, encode(ping), sim.clock(0));
+        sim.protocol(0)->receive(1, encode(ping), sim.clock(0));
         sim.run_until(sim.now() + ms);
     }
     // Ten seconds, and two seconds' worth at once.
@@ -237,7 +237,7 @@
 }
 
 bool asks_before_judging() {
-    Start start;
+    MembershipConfig start;
     start.routers = 4;
     start.now = 1'764'576'000 * second;
     start.life = 1000;
@@ -249,16 +249,16 @@
         message.self = {500, Phase::Here, 0, Verdict::Alive, false};
         message.accounts = {account};
         message.accusations = std::move(accusations);
-        membership.hear(from, encode(message), now);
+        membership.receive(from, encode(message), now);
     };
     tell(1, {3, {400, Phase::Here, 0, Verdict::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
-    auto judged_at = now + start.rates.shortest;
-    while (now < judged_at - 20 * ms) membership.pass(now += 10 * ms);
+    auto judged_at = now + start.settings.shortest_suspicion;
+    while (now < judged_at - 20 * ms) membership.tick(now += 10 * ms);
     now += 5 * second;  // stopped just before it would have judged
-    membership.pass(now);
-    for (int i = 0; i < 5; i++) membership.pass(now += 10 * ms);
+    membership.tick(now);
+    for (int i = 0; i < 5; i++) membership.tick(now += 10 * ms);
     bool asked = membership.state(3) == State::Suspected;
-    for (int i = 0; i < 300; i++) membership.pass(now += 10 * ms);
+    for (int i = 0; i < 300; i++) membership.tick(now += 10 * ms);
     return asked && membership.state(3) == State::Dead;  // it was, and did not answer
 }
 
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -34,7 +34,7 @@
         terms.exchange.site = rig::shared_site();
         terms.exchange.lease = lease;
         terms.steady = [this] { return fleet ? fleet->now() : noon_at; };
-        peers::Rates rates;
+        peers::MembershipSettings rates;
         rates.bytes_per_s = 600;
         fleet = std::make_unique<SharedFleet>(routers, 1, seed, rates, conditions);
         fleet->start_all();
--- a/tests/flaws/transfer_scenarios.hpp
+++ b/tests/flaws/transfer_scenarios.hpp
@@ -19,8 +19,8 @@
 inline constexpr Micros ms = 1000, second = 1000 * ms, day = 86'400 * second;
 inline constexpr int bytes_in_two_seconds = 2 * 4096;
 
-inline Rates rates_with_transfer() {
-    Rates rates;
+inline MembershipSettings rates_with_transfer() {
+    MembershipSettings rates;
     rates.bytes_per_s = 2000;
     rates.state_transfer = true;
     return rates;
@@ -48,7 +48,7 @@
 // A tier whose routers were started over the last three days, and what an onlooker counts of it.
 class Tier {
 public:
-    explicit Tier(int count, std::uint64_t seed, Rates rates = rates_with_transfer(),
+    explicit Tier(int count, std::uint64_t seed, MembershipSettings rates = rates_with_transfer(),
                   LinkConditions conditions = {0.01, 3 * ms, 24 * ms, 0.001, 0.001}, int zones = 10)
         : sim(count, zones, seed, rates, conditions),
           in(static_cast<std::size_t>(count)),
@@ -162,11 +162,11 @@
 public:
     explicit Alone(int routers, bool on = true) : rates(rates_with_transfer()) {
         rates.state_transfer = on;
-        Start start;
+        MembershipConfig start;
         start.routers = routers;
         start.life = static_cast<Life>(now / 1000);
         start.now = now;
-        start.rates = rates;
+        start.settings = rates;
         membership = std::make_unique<Membership>(start);
     }
     static Message from(Number helper, Kind kind) {
@@ -182,12 +182,12 @@
         message.complete = complete;
         return message;
     }
-    void hear(const Message& message) { membership->hear(message.from, encode(message), now); }
+    void hear(const Message& message) { membership->receive(message.from, encode(message), now); }
     // Runs on until the next request is sent, or the time is up.
     std::optional<std::pair<Number, Message>> next_request(Micros limit = second) {
         for (auto until = now + limit; now < until; now += 5 * ms) {
-            membership->pass(now);
-            for (auto& one : membership->outgoing()) {
+            membership->tick(now);
+            for (auto& one : membership->take_outgoing()) {
                 auto read = decode(one.bytes, membership->routers(), now);
                 if (read.message && read.message->kind == Kind::RangeRequest)
                     waiting.emplace_back(one.to, *read.message);
@@ -205,7 +205,7 @@
     }
     MemberState known(Number who) { return membership->view(who, now).member_state; }
 
-    Rates rates;
+    MembershipSettings rates;
     Micros now = 1'764'576'000 * second;
     std::unique_ptr<Membership> membership;
     std::deque<std::pair<Number, Message>> waiting;
@@ -306,9 +306,10 @@
     tier.run(60 * second);
     auto before = tier.sim.figures(9);
     for (auto& one : old)
-        if (one.to == 9) tier.sim.protocol(9)->hear(one.from, one.bytes, tier.sim.clock(9));
+        if (one.to == 9) tier.sim.protocol(9)->receive(one.from, one.bytes, tier.sim.clock(9));
     auto after = tier.sim.figures(9);
-    bool unused = after.pages_taken == before.pages_taken && after.pages_unasked > before.pages_unasked;
+    bool unused =
+        after.pages_accepted == before.pages_accepted && after.pages_unsolicited > before.pages_unsolicited;
     return unused && tier.known_share(9) == 1;
 }
 
@@ -350,7 +351,7 @@
     request.range_members = 20;
     request.pages = 1;
     one.hear(request);
-    for (auto& sent : one.membership->outgoing()) {
+    for (auto& sent : one.membership->take_outgoing()) {
         auto read = decode(sent.bytes, 20, one.now);
         if (read.message && read.message->kind == Kind::RangePage && sent.to == 3) return read.message;
     }
@@ -441,7 +442,7 @@
     tier.forget();
     // Nobody gives up those of its own half because the other half has.
     int own_given_up = 0;
-    tier.sim.on_change = [&](int observer, const Change& change) {
+    tier.sim.on_change = [&](int observer, const StateChange& change) {
         own_given_up += change.after == State::Dead && (observer - change.who) % 2 == 0;
     };
     cut(false);
@@ -458,7 +459,7 @@
     tier.restart(9);
     tier.run(300 * second);
     bool given_up = !tier.sim.protocol(9)->transferring();
-    auto requests = tier.sim.protocol(9)->figures().range_requests;
+    auto requests = tier.sim.protocol(9)->counters().range_requests;
     for (int who = 0; who < 100; who++) tier.sim.cut(who, 9, false);
     return given_up && requests < 60 && tier.knows_within(9, 0.99, 15 * second);
 }
@@ -475,7 +476,8 @@
     for (int i = 0; i < 2000; i++) {
         request.from = 10 + i % 50;
         request.self = tier.sim.protocol(request.from)->self();
-        tier.sim.visit(9, [&](Membership& p) { p.hear(request.from, encode(request), tier.sim.clock(9)); });
+        tier.sim.visit(9,
+                       [&](Membership& p) { p.receive(request.from, encode(request), tier.sim.clock(9)); });
         tier.run(5 * ms);
     }
     bool shed = tier.sim.figures(9).requests_shed > shed_before;
@@ -512,7 +514,7 @@
 inline bool unasked_pages_unused() {
     Alone one(20);
     one.hear(Alone::page(5, {1, 19, {Alone::account_of(8)}}, true));
-    return one.known(8).life == 0 && one.membership->figures().pages_unasked == 1 &&
+    return one.known(8).life == 0 && one.membership->counters().pages_unsolicited == 1 &&
            one.membership->transferring();
 }
 
@@ -525,7 +527,7 @@
     tier.run(10 * second);
     Alone one(20, false);
     one.hear(Alone::page(5, {1, 19, {Alone::account_of(8)}}, true));
-    bool dropped = one.membership->figures().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 1;
+    bool dropped = one.membership->counters().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 1;
     return tier.transfer_datagrams == 0 && dropped && one.known(8).life == 0 && one.known(5).life == 0;
 }
 
--- a/tests/indirect_wait_test.cpp
+++ b/tests/indirect_wait_test.cpp
@@ -22,7 +22,7 @@
     fleet.start_all();
     fleet.run_until(fleet.now() + 30 * second);  // more probes than it takes to go by their round trips
     std::optional<Micros> accused_at;
-    fleet.on_change = [&](int, const Change& change) {
+    fleet.on_change = [&](int, const StateChange& change) {
         if (change.who == killed && change.after == State::Suspected && !accused_at) accused_at = fleet.now();
     };
     auto killed_at = fleet.now();
@@ -32,5 +32,5 @@
     // after the last helper was asked, would take 940 ms from the probe on.
     constexpr Micros clocks_apart_and_steps = 80 * ms;
     REQUIRE(accused_at);
-    CHECK(*accused_at - killed_at <= 2 * Rates{}.period + clocks_apart_and_steps);
+    CHECK(*accused_at - killed_at <= 2 * MembershipSettings{}.probe_period + clocks_apart_and_steps);
 }
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -44,16 +44,16 @@
     Judge() : membership(start()) {}
 
     void hear_accusation_by(Number accuser, Micros age) {
-        membership.hear(accuser, accusation_by(accuser, age), now);
+        membership.receive(accuser, accusation_by(accuser, age), now);
         collect();
     }
-    void carry(Piggyback& rider) { passenger_talks = true, membership.carry(&rider); }
+    void carry(Piggyback& rider) { passenger_talks = true, membership.set_piggyback(&rider); }
     // False where it gave the accused up meanwhile.
     bool pass_until(Micros until) {
         while (now < until && !judged_at) {
             now += between_passes;
-            membership.pass(now);
-            if (passenger_talks) membership.tell(routers - 1, -1, true, now);
+            membership.tick(now);
+            if (passenger_talks) membership.send_piggyback(routers - 1, -1, true, now);
             collect();
         }
         return !judged_at;
@@ -65,8 +65,8 @@
     Micros now = noon_at;
 
 private:
-    static Start start() {
-        Start made;
+    static MembershipConfig start() {
+        MembershipConfig made;
         made.routers = routers;
         made.life = 1000;
         made.now = noon_at;
@@ -74,7 +74,7 @@
     }
     // Probes are numbered, last calls are not.
     void collect() {
-        for (auto& datagram : membership.outgoing()) {
+        for (auto& datagram : membership.take_outgoing()) {
             auto read = decode(datagram.bytes, routers, now);
             REQUIRE(read.message);
             auto& accounts = read.message->accounts;
@@ -91,7 +91,9 @@
     std::optional<Micros> asked_at, judged_at;
 };
 
-constexpr Micros period = Rates{}.period, shortest = Rates{}.shortest, longest_time = Rates{}.longest;
+constexpr Micros period = MembershipSettings{}.probe_period,
+                 shortest = MembershipSettings{}.shortest_suspicion,
+                 longest_time = MembershipSettings{}.longest_suspicion;
 
 }  // namespace
 
--- a/tests/last_ping_test.cpp
+++ b/tests/last_ping_test.cpp
@@ -42,7 +42,7 @@
         if (to == stopped)
             bytes_by_slice[static_cast<std::size_t>((fleet.now() - from) / slice)] += datagram.size();
     };
-    fleet.on_change = [&](int, const Change& change) {
+    fleet.on_change = [&](int, const StateChange& change) {
         if (change.after != State::Dead) return;
         (change.who == stopped ? verdicts : wrong_verdicts)++;
     };
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -44,7 +44,7 @@
 }
 
 Membership a_circle(Number self = 0, int routers = 4) {
-    Start start;
+    MembershipConfig start;
     start.self = self;
     start.routers = routers;
     start.life = 1000;
@@ -212,43 +212,43 @@
 
 TEST_CASE("a router that was accused answers with a higher incarnation") {
     auto membership = a_circle();
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Suspected, false}}), noon_at);
+    membership.receive(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Suspected, false}}), noon_at);
     CHECK(membership.self().incarnation == 1);
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
+    membership.receive(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
     CHECK(membership.self().incarnation == 1);  // that one was answered already
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 7, Verdict::Alive, false}}), noon_at);
+    membership.receive(1, telling(1, {0, {1000, Phase::Here, 7, Verdict::Alive, false}}), noon_at);
     CHECK(membership.self().incarnation == 8);  // of its last run, within the same millisecond
-    membership.hear(1, telling(1, {0, {1000, Phase::Gone, 9, Verdict::Alive, false}}), noon_at);
+    membership.receive(1, telling(1, {0, {1000, Phase::Gone, 9, Verdict::Alive, false}}), noon_at);
     CHECK(membership.self().life == 1001);  // which it did not say in this life
-    membership.hear(1, telling(1, {0, {5000, Phase::Here, 0, Verdict::Alive, false}}), noon_at);
+    membership.receive(1, telling(1, {0, {5000, Phase::Here, 0, Verdict::Alive, false}}), noon_at);
     CHECK(membership.self().life == 5001);
 }
 
 TEST_CASE("nobody speaks under another's number, from elsewhere, or in my name") {
     auto membership = a_circle();
     auto gone = telling(2, {3, {400, Phase::Gone, 0, Verdict::Alive, false}});
-    membership.hear(1, gone, noon_at);
-    membership.hear(-1, gone, noon_at);
+    membership.receive(1, gone, noon_at);
+    membership.receive(-1, gone, noon_at);
     CHECK(membership.state(3) == State::Unknown);
-    membership.hear(2, gone, noon_at);
+    membership.receive(2, gone, noon_at);
     CHECK(membership.state(3) == State::Gone);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
+    CHECK(membership.counters().dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
     auto mine = telling(0, {3, {400, Phase::Here, 0, Verdict::Alive, false}});
-    membership.hear(0, mine, noon_at);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::Source)] == 3);
+    membership.receive(0, mine, noon_at);
+    CHECK(membership.counters().dropped[static_cast<std::size_t>(Dropped::Source)] == 3);
 }
 
 TEST_CASE("counts are an interval, and only a router's own word makes it certain") {
     auto membership = a_circle();
-    CHECK(membership.counts().surely == 1);
-    CHECK(membership.counts().possibly == 4);
-    membership.hear(1, telling(1, {2, {400, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
-    membership.hear(1, telling(1, {3, {400, Phase::Gone, 0, Verdict::Alive, false}}), noon_at);
-    CHECK(membership.counts().surely == 2);
-    CHECK(membership.counts().possibly == 3);  // the dead one may be behind a cut
-    CHECK(membership.view(3, noon_at).sure == 1);
-    CHECK(membership.view(2, noon_at).sure < 1);
-    CHECK(membership.view(1, noon_at + 60 * second).sure < membership.view(1, noon_at).sure);
+    CHECK(membership.counts().at_least == 1);
+    CHECK(membership.counts().at_most == 4);
+    membership.receive(1, telling(1, {2, {400, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
+    membership.receive(1, telling(1, {3, {400, Phase::Gone, 0, Verdict::Alive, false}}), noon_at);
+    CHECK(membership.counts().at_least == 2);
+    CHECK(membership.counts().at_most == 3);  // the dead one may be behind a cut
+    CHECK(membership.view(3, noon_at).confidence == 1);
+    CHECK(membership.view(2, noon_at).confidence < 1);
+    CHECK(membership.view(1, noon_at + 60 * second).confidence < membership.view(1, noon_at).confidence);
 }
 
 TEST_CASE("a router that handles too few of its lookups is ill, and well again with a margin") {
@@ -260,7 +260,7 @@
             now += second;
             ended += 20;
             bad += static_cast<std::uint64_t>(20 * share);
-            ill = request_health.told(ended, bad, now);
+            ill = request_health.update(ended, bad, now);
         }
         return ill;
     };
@@ -332,12 +332,12 @@
     request.kind = Kind::RangeRequest;
     request.range_members = 4;
     request.pages = 1;
-    membership.hear(1, encode(request), noon_at);
+    membership.receive(1, encode(request), noon_at);
     request.range_members = request.pages = 0;
     request.kind = Kind::RangePage;
-    membership.hear(1, encode(request), noon_at);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 2);
-    CHECK(membership.figures().heard == 0);
+    membership.receive(1, encode(request), noon_at);
+    CHECK(membership.counters().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 2);
+    CHECK(membership.counters().received == 0);
     CHECK(membership.state(1) == State::Unknown);
-    CHECK(membership.outgoing().empty());
+    CHECK(membership.take_outgoing().empty());
 }
--- a/tests/round_trips_test.cpp
+++ b/tests/round_trips_test.cpp
@@ -39,7 +39,7 @@
     auto regions = topology.regions_by_size();
     auto killed = topology.in_region(regions[2]).front();
     RegionCut seen;
-    fleet.on_change = [&](Number, const Change& change) {
+    fleet.on_change = [&](Number, const StateChange& change) {
         if (change.after != State::Dead) return;
         (change.who == killed && !fleet.runs(killed) ? seen.noticed : seen.false_deaths)++;
     };
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -149,7 +149,7 @@
     Topology topology(100);
     SimulatedFleet fleet(topology, {});
     int deaths = 0;
-    fleet.on_change = [&](int, const quillgrade::peers::Change& change) {
+    fleet.on_change = [&](int, const quillgrade::peers::StateChange& change) {
         deaths += change.after == quillgrade::peers::State::Dead;
     };
     fleet.start_in_steady_state();
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -700,7 +700,7 @@
 // its own clock that time was over.
 TEST_CASE("a cold budget holds to the end of the cold time by the slowest clock that is allowed") {
     constexpr Micros ahead = 250 * ms;
-    peers::Start start;
+    peers::MembershipConfig start;
     start.self = 0;
     start.routers = 12;
     start.now = noon_at;
@@ -730,7 +730,7 @@
 }
 
 TEST_CASE("where no budget is shared, a server's cold time is that of the settings") {
-    peers::Start start;
+    peers::MembershipConfig start;
     start.self = 0;
     start.routers = 12;
     start.now = noon_at;
--- a/tests/state_transfer_test.cpp
+++ b/tests/state_transfer_test.cpp
@@ -29,14 +29,14 @@
     REQUIRE(asked);
     auto page = Alone::page(asked->first, {1, 19, {Alone::account_of(8)}}, true);
     auto other = asked->first == 4 ? 5 : 4;
-    one.membership->hear(other, encode(page), one.now);
-    one.membership->hear(-1, encode(page), one.now);
-    auto& dropped = one.membership->figures().dropped;
+    one.membership->receive(other, encode(page), one.now);
+    one.membership->receive(-1, encode(page), one.now);
+    auto& dropped = one.membership->counters().dropped;
     CHECK(dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
     page.page = SnapshotPage{10, 20, {}};
     one.hear(page);
     auto bytes = encode(Alone::page(asked->first, {1, 19, {}}, true));
-    one.membership->hear(asked->first, bytes.substr(0, bytes.size() - 4), one.now);
+    one.membership->receive(asked->first, bytes.substr(0, bytes.size() - 4), one.now);
     CHECK(dropped[static_cast<std::size_t>(Dropped::OutOfRange)] +
               dropped[static_cast<std::size_t>(Dropped::Malformed)] ==
           2);
@@ -91,15 +91,15 @@
     transfer_scenarios::Tier tier(200, 61);
     tier.settle();
     auto before = tier.sim.protocol(9)->bytes_held();
-    Start start;
+    MembershipConfig start;
     start.routers = 8192;
     start.now = noon_at;
-    start.rates = transfer_scenarios::rates_with_transfer();
+    start.settings = transfer_scenarios::rates_with_transfer();
     Membership on(start);
-    start.rates.state_transfer = false;
+    start.settings.state_transfer = false;
     Membership off(start);
     CHECK(on.bytes_held() - off.bytes_held() < 16'384);
-    for (auto& page : tier.pages) tier.sim.protocol(9)->hear(page.from, page.bytes, tier.sim.clock(9));
+    for (auto& page : tier.pages) tier.sim.protocol(9)->receive(page.from, page.bytes, tier.sim.clock(9));
     tier.run(5 * second);
     CHECK(tier.sim.protocol(9)->bytes_held() < before + 4096);
 }
@@ -110,7 +110,7 @@
     Alone one(500);
     one.hear(Alone::from(3, Kind::News));
     int sent = 0;
-    while (one.membership->tell(3, true, one.now)) sent++;
+    while (one.membership->send_piggyback(3, true, one.now)) sent++;
     REQUIRE(sent >= 10);
     auto from = one.now;
     REQUIRE(one.next_request());
@@ -121,10 +121,10 @@
 
 // How many accounts the answer to a ping brings along.
 std::size_t accounts_in_answer(Alone& one) {
-    one.membership->outgoing();
+    one.membership->take_outgoing();
     one.hear(Alone::from(5, Kind::Ping));
     std::size_t accounts = 0;
-    for (auto& sent : one.membership->outgoing()) {
+    for (auto& sent : one.membership->take_outgoing()) {
         auto read = decode(sent.bytes, one.membership->routers(), one.now);
         REQUIRE(read.message.has_value());
         if (read.message->kind == Kind::Heard) accounts += read.message->accounts.size();
@@ -144,7 +144,7 @@
     REQUIRE(one.membership->transferring());
     one.hear(news);
     one.now += second;
-    one.membership->pass(one.now);
+    one.membership->tick(one.now);
     return accounts_in_answer(one);
 }
 
