--- a/bench/shared_state.cpp
+++ b/bench/shared_state.cpp
@@ -51,8 +51,8 @@
                                      double loss = 0.05) {
     auto& terms = rig::partner_terms();
     terms.exchange = {};
-    terms.exchange.site = rig::shared_site();
-    terms.exchange.lease = 3 * second;
+    terms.exchange.settings = rig::shared_site();
+    terms.exchange.lease_duration = 3 * second;
     static SharedFleet* running;
     running = nullptr;
     terms.steady = [] { return running ? running->now() : 1'764'576'000 * second; };
@@ -84,7 +84,7 @@
     endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
     for (int i = 0; i < routers; i++)
         fleet->visit(i, [&](rig::Partner& one) {
-            one.exchange().listed({false, {endpoint}}, one.times(fleet->clock(i)));
+            one.exchange().apply_listing({false, {endpoint}}, one.times(fleet->clock(i)));
         });
     boost::random::mt19937 chance(3);
     boost::random::uniform_01<double> unit;
@@ -147,7 +147,7 @@
             one.entry = {2, listed, 4, 0, 0, 0, 0};
             other.entry = {3, Listed::Ready, 4, 0, 0, 0, 0};
             fleet->visit(router, [&](rig::Partner& p) {
-                p.exchange().listed({false, {one, other}}, p.times(fleet->clock(router)));
+                p.exchange().apply_listing({false, {one, other}}, p.times(fleet->clock(router)));
                 p.share(fleet->clock(router));
             });
         };
@@ -216,9 +216,9 @@
                 fleet->visit(i, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(i));
                     for (auto& server : router.servers)
-                        server.hearsay = one.exchange().hearsay(server.id, 0, times);
+                        server.hearsay = one.exchange().peer_health(server.id, 0, times);
                     if ((t - begin) / (100 * ms) % 3 == 0)
-                        one.exchange().witnessed(router.witnessed(t), router.measured(t), times);
+                        one.exchange().report_health(router.witnessed(t), router.measured(t), times);
                 });
             }
             for (auto& server : router.servers) {
@@ -276,8 +276,9 @@
             auto& router = all[static_cast<std::size_t>(i)];
             if (shared)
                 fleet->visit(i, [&](rig::Partner& one) {
-                    lookup.elsewhere = one.exchange().asked(lookup.object, one.times(fleet->clock(i)));
-                    router.heard = one.exchange().heard_routers();
+                    lookup.elsewhere =
+                        one.exchange().count_request(lookup.object, one.times(fleet->clock(i)));
+                    router.heard = one.exchange().alive_routers_in_zone();
                 });
             askers[lookup.object].insert(i);
             kept.over_fleet += lookup.elsewhere > static_cast<double>(askers[lookup.object].size()) - 1;
--- a/model/loans.cpp
+++ b/model/loans.cpp
@@ -34,11 +34,11 @@
 constexpr int routers = 3;
 constexpr std::size_t most_flying = 4;
 const CacheId server = [] {  // one that router 0 owns
-    QuotaTerms terms;
+    QuotaOptions terms;
     terms.routers = routers;
-    terms.owners = 1;
+    terms.grantors = 1;
     CacheId id = 1;
-    while (Quotas(terms).owners_of(id, 1)[0] != 0) id++;
+    while (Quotas(terms).grantors_of(id, 1)[0] != 0) id++;
     return id;
 }();
 
@@ -69,17 +69,17 @@
 };
 
 Quotas fresh(Number self, Life life, Micros now, bool long_there) {
-    QuotaTerms terms;
+    QuotaOptions terms;
     terms.self = self;
     terms.routers = routers;
-    terms.owners = 1;
+    terms.grantors = 1;
     terms.window = window;
-    terms.lease = lease;
+    terms.lease_duration = lease;
     terms.seed = static_cast<std::uint32_t>(self * 100 + static_cast<int>(life));
     terms.now = now;
-    if (long_there) terms.now -= 100 * Quotas(terms).new_life_waits();
+    if (long_there) terms.now -= 100 * Quotas(terms).restart_wait();
     Quotas made(terms);
-    made.list({{server, 1, work}}, now);
+    made.set_cold_servers({{server, 1, work}}, now);
     return made;
 }
 
@@ -165,11 +165,11 @@
     void pass(World& world, Number who) {
         auto& quotas = world.all[static_cast<std::size_t>(who)];
         auto life = world.lives[static_cast<std::size_t>(who)];
-        for (auto& [to, grant] : quotas.grants(world.now)) {
+        for (auto& [to, grant] : quotas.issue_grants(world.now)) {
             seen.lent = true;
             world.flying.push_back({who, to, life, grant});
         }
-        for (auto& [to, ask] : quotas.asks([](Number) { return true; }, world.now)) {
+        for (auto& [to, ask] : quotas.due_asks([](Number) { return true; }, world.now)) {
             seen.renewed |= ask.renews != 0;
             world.flying.push_back({who, to, life, ask});
         }
@@ -179,9 +179,9 @@
     void deliver(World& world, const Flying& one) {
         auto& quotas = world.all[static_cast<std::size_t>(one.to)];
         if (auto* ask = std::get_if<Ask>(&one.what))
-            quotas.asked(one.from, one.life, *ask, world.now);
+            quotas.handle_ask(one.from, one.life, *ask, world.now);
         else
-            quotas.granted(one.from, std::get<Grant>(one.what), world.now);
+            quotas.handle_grant(one.from, std::get<Grant>(one.what), world.now);
         pass(world, one.to);
     }
 
@@ -199,10 +199,10 @@
                 add(name + " wants", [&](World& next) {
                     auto& quotas = next.all[place];
                     if (quotas.available(server, next.now) >= work * 0.99) {
-                        next.pending[place] = quotas.use(server, work, next.now, next.now);
+                        next.pending[place] = quotas.consume(server, work, next.now, next.now);
                         (who == 0 ? seen.own_used : seen.used_loan) = true;
                     } else {
-                        quotas.missed(server, work, work, next.now);
+                        quotas.record_unmet_demand(server, work, work, next.now);
                     }
                     pass(next, who);
                 });
@@ -244,7 +244,7 @@
                 next.ticks++;
                 std::erase_if(next.sent, [&](auto at) { return next.now - at >= window; });
                 for (Number who = 0; who < routers; who++) {
-                    next.all[static_cast<std::size_t>(who)].list({{server, 1, work}}, next.now);
+                    next.all[static_cast<std::size_t>(who)].set_cold_servers({{server, 1, work}}, next.now);
                     pass(next, who);
                 }
             });
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -10,12 +10,12 @@
 
 constexpr Micros say_every = 10'000'000;
 
-shared::Terms terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
-    shared::Terms terms;
-    terms.parts = {plan.facts, plan.quotas, plan.judgements, plan.counts};
-    terms.site = static_cast<const Bounds&>(launch.facts);
-    terms.owners = plan.owners;
-    terms.lease = plan.lease;
+shared::ExchangeOptions terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
+    shared::ExchangeOptions terms;
+    terms.features = {plan.facts, plan.quotas, plan.judgements, plan.counts};
+    terms.settings = static_cast<const Bounds&>(launch.facts);
+    terms.grantors = plan.owners;
+    terms.lease_duration = plan.lease;
     terms.now = {clock.now(), Clock::steady()};
     // New with each start, so that no answer to an earlier life's ask is taken for one to this one's.
     terms.seed = static_cast<std::uint32_t>(launch.seed ^ (launch.seed >> 32)) ^
@@ -40,25 +40,25 @@
 
 Sharing::~Sharing() { turn.share(nullptr); }
 
-void Sharing::at(Micros now) { exchange.at({now, Clock::steady()}); }
+void Sharing::at(Micros now) { exchange.set_time({now, Clock::steady()}); }
 
 void Sharing::pass(Gathered& batch, Micros live, Micros now) {
-    shared::Times times{now, Clock::steady()};
+    shared::ClockReadings times{now, Clock::steady()};
     for (auto& value : batch) {
         auto* event = std::get_if<feed::Event>(&value);
         if (!event) continue;
         if (auto* listing = std::get_if<feed::Listing>(&event->what))
-            *listing = exchange.listed(std::move(*listing), times);
+            *listing = exchange.apply_listing(std::move(*listing), times);
         else if (auto* purge = std::get_if<feed::PurgeNotice>(&event->what))
-            exchange.purged(*purge, times);
+            exchange.record_purge(*purge, times);
     }
-    auto changes = exchange.pass(live, times);
+    auto changes = exchange.tick(live, times);
     say(changes, now);
     if (!changes.listing.caches.empty()) batch.emplace_back(feed::Event{0, std::move(changes.listing)});
     for (auto& purge : changes.purges) batch.emplace_back(feed::Event{0, purge});
 }
 
-void Sharing::say(const shared::Facts::Changes& changes, Micros now) {
+void Sharing::say(const shared::ReplicatedFacts::Changes& changes, Micros now) {
     for (auto& endpoint : changes.listing.caches)
         log::info("shared: cache {} {}", endpoint.entry.id,
                   endpoint.entry.listed == Listed::Ready ? "is open again, as the own list has it"
@@ -67,25 +67,25 @@
     if (!changes.purges.empty()) log::info("shared: {} purges heard from others", changes.purges.size());
     if (now < say_at) return;
     say_at = now + say_every;
-    shared::Times times{now, Clock::steady()};
-    bool differ = exchange.others_differ(times);
+    shared::ClockReadings times{now, Clock::steady()};
+    bool differ = exchange.configuration_mismatch_seen(times);
     if (differ && !told_differ)
         log::warning(
             "shared: other routers go by other amounts for rights, nothing is lent to them or borrowed");
     told_differ = differ;
-    auto& seen = exchange.figures();
+    auto& seen = exchange.counters();
     if (seen.malformed != told_malformed) log::warning("shared: {} malformed so far", seen.malformed);
     told_malformed = seen.malformed;
 }
 
 void Sharing::say_all() {
-    auto& seen = exchange.figures();
-    auto& quotas = exchange.quota_figures();
+    auto& seen = exchange.counters();
+    auto& quotas = exchange.quota_counters();
     log::info(
         "shared: {} bytes, {} facts, {} complaints, {} counts heard; {} asks, {} loans taken, {} given, {} "
         "renewed",
-        seen.payload_bytes, seen.facts_heard, seen.complaints_heard, seen.counts_heard, quotas.asked,
-        quotas.borrowed, quotas.granted, quotas.renewed);
+        seen.payload_bytes, seen.facts_received, seen.complaints_received, seen.counts_received,
+        quotas.asks_sent, quotas.leases_received, quotas.leases_granted, quotas.leases_renewed);
 }
 
 }  // namespace quillgrade::node
--- a/src/node/sharing.hpp
+++ b/src/node/sharing.hpp
@@ -27,7 +27,7 @@
     void say_all();  // the last line
 
 private:
-    void say(const shared::Facts::Changes& changes, Micros now);
+    void say(const shared::ReplicatedFacts::Changes& changes, Micros now);
 
     Turn& turn;
     shared::Exchange exchange;
--- a/src/node/turn.cpp
+++ b/src/node/turn.cpp
@@ -49,7 +49,7 @@
     if (leave_by) facts.due = std::min(facts.due, *leave_by);
     facts.write = router.traffic[facts.traffic].write;
     if (exchange && facts.part == 0 && !facts.write)
-        facts.elsewhere = exchange->asked(facts.object, {now, steady});
+        facts.elsewhere = exchange->count_request(facts.object, {now, steady});
     auto id = facts.id;
     open.try_emplace(id, arrived.caller, facts, arrived.lookup, now, base,
                      [this, id] { gathered.emplace_back(LookDue{id}); });
@@ -159,27 +159,28 @@
     steady = Clock::steady();
     for (auto id : lent)
         if (auto* server = find_server(router, id)) server->right = -1;
-    lent = exchange->young();
+    lent = exchange->cold_servers();
     for (auto id : lent)
-        if (auto* server = find_server(router, id)) server->right = exchange->right(id, {now, steady});
-    router.heard = exchange->heard_routers();
+        if (auto* server = find_server(router, id))
+            server->right = exchange->available_quota(id, {now, steady});
+    router.heard = exchange->alive_routers_in_zone();
 }
 
 // What the module has used of it in this turn, and what it would have used.
 void Turn::settle_quotas() {
-    shared::Times times{now, steady};
+    shared::ClockReadings times{now, steady};
     for (auto id : lent) {
         auto* server = find_server(router, id);
         if (!server || server->right < 0) continue;
-        double used = exchange->right(id, times) - server->right;
+        double used = exchange->available_quota(id, times) - server->right;
         if (used > 0) {
-            auto good = exchange->use(id, used, now, times);
+            auto good = exchange->consume(id, used, now, times);
             auto [known, first] = until.emplace(id, good);
             if (!first) known->second = std::min(known->second, good);
         }
-        exchange->missed(id, std::exchange(server->wanted, 0) - std::max(0.0, used), server->wanted_once,
-                         times);
-        for (auto& one : server->returned) exchange->give_back(id, one.value, one.at, times);
+        exchange->record_unmet_demand(id, std::exchange(server->wanted, 0) - std::max(0.0, used),
+                                      server->wanted_once, times);
+        for (auto& one : server->returned) exchange->refund(id, one.value, one.at, times);
         server->returned.clear();
     }
 }
@@ -196,11 +197,11 @@
 void Turn::weigh_opinions() {
     for (auto id : spoken_of)
         if (auto* server = find_server(router, id)) server->hearsay = {};
-    spoken_of = exchange->named();
+    spoken_of = exchange->reported_servers();
     for (auto id : spoken_of)
         if (auto* server = find_server(router, id))
-            server->hearsay = exchange->hearsay(id, server->started, {now, steady});
-    if (tends++ % 3 == 0) exchange->witnessed(router.witnessed(now), router.measured(now), {now, steady});
+            server->hearsay = exchange->peer_health(id, server->started, {now, steady});
+    if (tends++ % 3 == 0) exchange->report_health(router.witnessed(now), router.measured(now), {now, steady});
 }
 
 void Turn::tend(Micros reading) {
--- a/src/rig/fleet/script.cpp
+++ b/src/rig/fleet/script.cpp
@@ -95,12 +95,12 @@
         // Who holds the cold budget of a server's latest start.
         if (told.is_object() && told.contains("owners_of")) {
             auto id = told.at("owners_of").get<std::uint64_t>();
-            shared::QuotaTerms terms;
+            shared::QuotaOptions terms;
             terms.routers = fleet.routers();
             if (script.contains("shared") && script.at("shared").contains("rights"))
-                terms.owners = script.at("shared").at("rights").value("owners", terms.owners);
+                terms.grantors = script.at("shared").at("rights").value("owners", terms.grantors);
             auto owners =
-                shared::Quotas(terms).owners_of(id, static_cast<std::uint64_t>(fleet.started_ms(id)));
+                shared::Quotas(terms).grantors_of(id, static_cast<std::uint64_t>(fleet.started_ms(id)));
             all.insert(owners.begin(), owners.end());
         }
         if (told.is_object() && told.contains("zone"))
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -54,10 +54,10 @@
     return start;
 }
 
-shared::Terms shared_terms_of(peers::Number self, const HollowTerms& terms, Micros now) {
-    shared::Terms made;
-    made.site = static_cast<const Bounds&>(terms.launch->facts);
-    made.parts.facts = terms.shared_facts;
+shared::ExchangeOptions shared_terms_of(peers::Number self, const HollowTerms& terms, Micros now) {
+    shared::ExchangeOptions made;
+    made.settings = static_cast<const Bounds&>(terms.launch->facts);
+    made.features.facts = terms.shared_facts;
     made.now = {now, node::Clock::steady()};
     made.seed = static_cast<std::uint32_t>(terms.seed + static_cast<std::uint64_t>(self) * 2654435761U) ^
                 static_cast<std::uint32_t>(now);
@@ -79,7 +79,8 @@
 }
 
 HollowRouter::Life::Life(event_base* base, const HollowTerms& terms, const peers::Start& start,
-                         const shared::Terms& shared_terms, EventNumber last_event, std::size_t machine)
+                         const shared::ExchangeOptions& shared_terms, EventNumber last_event,
+                         std::size_t machine)
     : membership(start),
       exchange(membership, shared_terms),
       coordinator(base, terms.control_machines.at(machine), terms.launch->terms, last_event, clock, gathered),
@@ -137,7 +138,7 @@
     if (!life || !(woken || !received.empty() || !life->gathered.empty())) return;
     woken = false;
     auto now = life->clock.now();
-    shared::Times times{now, node::Clock::steady()};
+    shared::ClockReadings times{now, node::Clock::steady()};
     hear(times);
     take_events(times);
     share(times);
@@ -149,27 +150,27 @@
     wake.set(life->membership.due() - now);
 }
 
-void HollowRouter::hear(const shared::Times& now) {
-    life->exchange.at(now);
+void HollowRouter::hear(const shared::ClockReadings& now) {
+    life->exchange.set_time(now);
     for (auto& [from, bytes] : received) life->membership.hear(from, bytes, now.unix);
     received.clear();
 }
 
-void HollowRouter::take_events(const shared::Times& now) {
+void HollowRouter::take_events(const shared::ClockReadings& now) {
     for (auto& value : life->gathered) {
         auto& event = std::get<feed::Event>(value);
         terms.arrivals->arrived(self, event.number, now.unix);
         if (auto* listing = std::get_if<feed::Listing>(&event.what))
-            life->exchange.listed(std::move(*listing), now);
+            life->exchange.apply_listing(std::move(*listing), now);
         else if (auto* purge = std::get_if<feed::PurgeNotice>(&event.what))
-            life->exchange.purged(*purge, now);
+            life->exchange.record_purge(*purge, now);
     }
     life->gathered.clear();
 }
 
 // A purge that another router told of has arrived too.
-void HollowRouter::share(const shared::Times& now) {
-    auto changes = life->exchange.pass(life->coordinator.live_since(), now);
+void HollowRouter::share(const shared::ClockReadings& now) {
+    auto changes = life->exchange.tick(life->coordinator.live_since(), now);
     for (auto& purge : changes.purges)
         if (purge.object >= purged_object_base)
             terms.arrivals->arrived(self, event_of(purge.object), now.unix);
--- a/src/rig/hollow/hollow_router.hpp
+++ b/src/rig/hollow/hollow_router.hpp
@@ -79,7 +79,7 @@
     // All that a restart loses.
     struct Life {
         Life(event_base* base, const HollowTerms& terms, const peers::Start& start,
-             const shared::Terms& shared_terms, EventNumber last_event, std::size_t machine);
+             const shared::ExchangeOptions& shared_terms, EventNumber last_event, std::size_t machine);
         node::Clock clock;
         peers::Membership membership;
         shared::Exchange exchange;
@@ -91,9 +91,9 @@
     };
 
     void readable();
-    void hear(const shared::Times& now);
-    void take_events(const shared::Times& now);
-    void share(const shared::Times& now);
+    void hear(const shared::ClockReadings& now);
+    void take_events(const shared::ClockReadings& now);
+    void share(const shared::ClockReadings& now);
     void look_for_a_control_machine(Micros now);
     void send();
     void note_changes();
--- a/src/rig/partner.hpp
+++ b/src/rig/partner.hpp
@@ -31,7 +31,7 @@
 
 // What all partners of one simulation are made with.
 struct PartnerTerms {
-    shared::Terms exchange{};
+    shared::ExchangeOptions exchange{};
     std::function<Micros()> steady;  // true lengths of time; a stopped router's goes on, as a machine's does
 };
 inline PartnerTerms& partner_terms() {
@@ -48,20 +48,20 @@
         exchange_ = std::make_unique<shared::Exchange>(*circle_, terms);
     }
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): asked of a partner, as the rest is.
-    shared::Times times(peers::Micros unix) const { return {unix, partner_terms().steady()}; }
+    shared::ClockReadings times(peers::Micros unix) const { return {unix, partner_terms().steady()}; }
 
     void hear(peers::Number from, std::string_view datagram, peers::Micros now) {
-        exchange_->at(times(now));
+        exchange_->set_time(times(now));
         circle_->hear(from, datagram, now);
         share(now);
     }
     void pass(peers::Micros now) {
-        exchange_->at(times(now));
+        exchange_->set_time(times(now));
         circle_->pass(now);
         share(now);
     }
     void share(peers::Micros now) {
-        auto changes = exchange_->pass(live, times(now));
+        auto changes = exchange_->tick(live, times(now));
         closed += changes.closed;
         opened += changes.opened;
         for (auto& endpoint : changes.listing.caches) changed.push_back(endpoint);
@@ -81,12 +81,12 @@
     // there is no right.
     Micros want(CacheId server, double work, peers::Micros now) {
         auto t = times(now);
-        auto right = exchange_->right(server, t);
+        auto right = exchange_->available_quota(server, t);
         if (right < work - 0.5) {
-            exchange_->missed(server, work, work, t);
+            exchange_->record_unmet_demand(server, work, work, t);
             return 0;
         }
-        return exchange_->use(server, work, now, t);
+        return exchange_->consume(server, work, now, t);
     }
 
     Micros live = 1;  // since when it hears its coordinator, 0: it doesn't
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -30,10 +30,10 @@
 }
 
 // The settings that the purges of an exchange want.
-shared::Terms exchange_terms(std::uint32_t seed, const shared::Times& now) {
-    shared::Terms terms;
-    terms.parts = {.facts = true, .quotas = false, .judgements = false, .counts = false};
-    terms.site.purge_done = 6 * second;
+shared::ExchangeOptions exchange_terms(std::uint32_t seed, const shared::ClockReadings& now) {
+    shared::ExchangeOptions terms;
+    terms.features = {.facts = true, .quotas = false, .health_reports = false, .request_counts = false};
+    terms.settings.purge_done = 6 * second;
     terms.seed = seed;
     terms.now = now;
     return terms;
@@ -126,7 +126,7 @@
 void SimulatedFleet::introduce(Number who, const std::vector<Page>& pages,
                                const std::vector<std::string>& greetings) {
     auto& router = at(who);
-    if (router.exchange) router.exchange->at(times(router));
+    if (router.exchange) router.exchange->set_time(times(router));
     for (auto& page : pages) {
         auto& told = page.by_first.teller == who ? page.by_other : page.by_first;
         for (int i = 0; i < tellings; i++) router.membership->hear(told.teller, told.bytes, clock(router));
@@ -174,7 +174,7 @@
 void SimulatedFleet::receive_purge(Number who, const feed::PurgeNotice& notice) {
     if (!runs(who)) return;
     auto& router = at(who);
-    if (router.exchange) router.exchange->purged(notice, times(router));
+    if (router.exchange) router.exchange->record_purge(notice, times(router));
     if (on_purge) on_purge(who, notice);
     if (router.exchange) act(who, [](auto&) {});
 }
@@ -235,11 +235,11 @@
     if (!router.membership) return;
     auto begun = processor_seconds();
     auto& membership = *router.membership;
-    if (router.exchange) router.exchange->at(times(router));
+    if (router.exchange) router.exchange->set_time(times(router));
     what(membership);
     if (clock(router) >= membership.due()) membership.pass(clock(router));
-    shared::Facts::Changes told;
-    if (router.exchange) told = router.exchange->pass(router.stream_live_since, times(router));
+    shared::ReplicatedFacts::Changes told;
+    if (router.exchange) told = router.exchange->tick(router.stream_live_since, times(router));
     auto outgoing = membership.outgoing();
     auto changes = membership.changes();
     membership.heard_of();
--- a/src/rig/scale/simulated_fleet.hpp
+++ b/src/rig/scale/simulated_fleet.hpp
@@ -108,7 +108,7 @@
     Router& at(Number who) { return members[static_cast<std::size_t>(who)]; }
     const Router& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
     Micros clock(const Router& router) const { return time + router.skew; }
-    shared::Times times(const Router& router) const { return {clock(router), time}; }
+    shared::ClockReadings times(const Router& router) const { return {clock(router), time}; }
     peers::Start start_of(Number who);
     std::string page_of(Number teller, Number first) const;
     void introduce(Number who, const std::vector<Page>& pages, const std::vector<std::string>& greetings);
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -20,42 +20,42 @@
 constexpr Micros clocks_apart = 250 * ms;
 constexpr double spare_datagram = 120;  // bytes, about
 
-QuotaTerms quota_terms(const peers::Membership& membership, const Terms& terms, Number self) {
-    QuotaTerms made;
+QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms, Number self) {
+    QuotaOptions made;
     made.self = self;
     made.routers = membership.routers();
-    made.owners = terms.owners;
-    made.window = terms.site.cold_window;
-    made.lease = terms.lease;
+    made.grantors = terms.grantors;
+    made.window = terms.settings.cold_window;
+    made.lease_duration = terms.lease_duration;
     made.seed = terms.seed;
     made.now = terms.now.steady;
     return made;
 }
 
 // Of all that has to be alike for the bound on quotas to hold.
-std::uint32_t hash_of(const peers::Membership& membership, const Terms& terms) {
-    auto& site = terms.site;
+std::uint32_t hash_of(const peers::Membership& membership, const ExchangeOptions& terms) {
+    auto& settings = terms.settings;
     const std::array words = {1.0,  // of this form
                               static_cast<double>(membership.routers()),
-                              static_cast<double>(terms.owners),
-                              static_cast<double>(terms.lease),
-                              site.cold_from,
-                              site.cold_multiple,
-                              site.parent_cold_from,
-                              site.parent_multiple,
-                              static_cast<double>(site.cold),
-                              static_cast<double>(site.cold_window),
-                              static_cast<double>(site.parent_cold)};
+                              static_cast<double>(terms.grantors),
+                              static_cast<double>(terms.lease_duration),
+                              settings.cold_from,
+                              settings.cold_multiple,
+                              settings.parent_cold_from,
+                              settings.parent_multiple,
+                              static_cast<double>(settings.cold),
+                              static_cast<double>(settings.cold_window),
+                              static_cast<double>(settings.parent_cold)};
     return std::max(1U, XXH32(words.data(), sizeof words, 0));
 }
 
 }  // namespace
 
-Exchange::Exchange(peers::Membership& membership, const Terms& terms)
+Exchange::Exchange(peers::Membership& membership, const ExchangeOptions& terms)
     : membership(membership),
       terms(terms),
       hash(hash_of(membership, terms)),
-      facts(terms.site.purge_done, membership.routers()),
+      facts(terms.settings.purge_done, membership.routers()),
       quotas(quota_terms(membership, terms, membership.number_of_self())),
       request_counts(membership.number_of_self(), membership.routers()),
       unlike(static_cast<std::size_t>(membership.routers())),
@@ -75,41 +75,41 @@
         seen.malformed++;
 }
 
-void Exchange::take(Number from, Life life, const Payload& load, const Times& now) {
-    if (terms.parts.facts) {
-        for (auto& fact : load.facts) seen.facts_heard += facts.hear(fact, now.unix, from);
+void Exchange::take(Number from, Life life, const Payload& load, const ClockReadings& now) {
+    if (terms.features.facts) {
+        for (auto& fact : load.facts) seen.facts_received += facts.receive(fact, now.unix, from);
         if (load.digest != facts.digest(now.unix)) unlike[static_cast<std::size_t>(from)] = true;
     }
-    if (terms.parts.quotas) {
+    if (terms.features.quotas) {
         // Guards against two sizes of the whole: who goes by other amounts is neither lent to nor borrowed
         // from.
-        bool alike = load.terms == hash;
+        bool alike = load.configuration_hash == hash;
         if (!alike) {
-            seen.other_terms++;
+            seen.configuration_mismatches++;
             differed_at = now.steady;
         }
         if (alike)
-            for (auto& ask : load.asks) quotas.asked(from, life, ask, now.steady);
+            for (auto& ask : load.asks) quotas.handle_ask(from, life, ask, now.steady);
         if (alike)
-            for (auto& grant : load.grants) quotas.granted(from, grant, now.steady);
+            for (auto& grant : load.grants) quotas.handle_grant(from, grant, now.steady);
     }
-    if (terms.parts.judgements && !load.complaints.empty()) {
+    if (terms.features.health_reports && !load.complaints.empty()) {
         auto view = membership.view(from, now.unix);
         double trust = view.state == peers::State::Alive && !view.ill ? 1 : 0.25;
         for (auto& one : load.complaints) {
-            health_reports.hear(from, view.zone, trust, load.breadth, one, now.unix);
-            seen.complaints_heard++;
+            health_reports.receive(from, view.zone, trust, load.breadth, one, now.unix);
+            seen.complaints_received++;
         }
     }
-    if (terms.parts.counts)
-        for (auto& one : load.counts) seen.counts_heard += request_counts.hear(one, now.unix);
+    if (terms.features.request_counts)
+        for (auto& one : load.counts) seen.counts_received += request_counts.receive(one, now.unix);
 }
 
 // ---- what this router's own sources say
 
-feed::Listing Exchange::listed(feed::Listing told, const Times& now) {
+feed::Listing Exchange::apply_listing(feed::Listing told, const ClockReadings& now) {
     last = now;
-    if (terms.parts.quotas && terms.site.ratings_are_links) {
+    if (terms.features.quotas && terms.settings.ratings_are_links) {
         // Parents only: all routers share them, so one's part is small. A location's caches have few routers,
         // whose parts are a lookup or more, and what they see answered raises them: pooled they were used
         // less (docs/results.md).
@@ -123,14 +123,14 @@
                 cold[entry.id] = entry;
         }
     }
-    return terms.parts.facts ? facts.listed(std::move(told), now.unix) : told;
+    return terms.features.facts ? facts.apply_listing(std::move(told), now.unix) : told;
 }
 
-void Exchange::purged(const feed::PurgeNotice& notice, const Times& now) {
-    if (terms.parts.facts) facts.purged(notice, now.unix);
+void Exchange::record_purge(const feed::PurgeNotice& notice, const ClockReadings& now) {
+    if (terms.features.facts) facts.record_purge(notice, now.unix);
 }
 
-Facts::Changes Exchange::pass(Micros live, const Times& now) {
+ReplicatedFacts::Changes Exchange::tick(Micros live, const ClockReadings& now) {
     last = now;
     if (!cold.empty()) {
         std::vector<ColdServer> told;
@@ -140,22 +140,22 @@
             if (age >= parent_cold()) return true;
             // As it stands at the end of a window: what is used now is weighed against all of the window
             // before.
-            auto grown = age + terms.site.cold_window - clocks_apart;
+            auto grown = age + terms.settings.cold_window - clocks_apart;
             told.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
-                            whole_cold_budget(terms.site, true, entry.rating, grown)});
+                            whole_cold_budget(terms.settings, true, entry.rating, grown)});
             return false;
         });
-        quotas.list(told, now.steady);
+        quotas.set_cold_servers(told, now.steady);
         auto there = [&](Number who) {
             auto state = membership.state(who);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
-        for (auto& [to, grant] : quotas.grants(now.steady)) {
+        for (auto& [to, grant] : quotas.issue_grants(now.steady)) {
             auto& post = out[to];
             if (post.grants.size() < most_posted) post.grants.push_back(grant);
             post.at = now.steady;
         }
-        for (auto& [to, ask] : quotas.asks(there, now.steady)) {
+        for (auto& [to, ask] : quotas.due_asks(there, now.steady)) {
             auto& post = out[to];
             if (post.asks.size() < most_posted) post.asks.push_back(ask);
             post.at = now.steady;
@@ -170,8 +170,8 @@
         post = empty || old ? out.erase(post) : std::next(post);
     }
     tell_facts(now);
-    if (terms.parts.counts && !facts_wait && now.unix >= spare_at &&
-        membership.spare(now.unix) > spare_datagram && request_counts.news()) {
+    if (terms.features.request_counts && !facts_wait && now.unix >= spare_at &&
+        membership.spare(now.unix) > spare_datagram && request_counts.has_unsent()) {
         membership.tell(1, membership.own_zone(), false, now.unix);
         spare_at = now.unix + spare_every;
     }
@@ -179,15 +179,15 @@
         health_reports.expire(now.unix);
         expire_at = now.unix + second / 2;
     }
-    return terms.parts.facts ? facts.pass(live, now.unix) : Facts::Changes{};
+    return terms.features.facts ? facts.tick(live, now.unix) : ReplicatedFacts::Changes{};
 }
 
 // News of drains and purges does not wait for a probe: three others at once, and each that hears it for the
 // first time does the same, as with news of the membership.
-void Exchange::tell_facts(const Times& now) {
+void Exchange::tell_facts(const ClockReadings& now) {
     facts_wait = false;
-    if (!terms.parts.facts) return;
-    if (facts.news()) {
+    if (!terms.features.facts) return;
+    if (facts.has_unsent()) {
         facts_wait = !membership.tell(3, -1, true, now.unix);
         return;
     }
@@ -210,36 +210,36 @@
 // Guards against a router whose clock is ahead: by it the cold time would end early, and what it sends until
 // the true end would be bounded by nothing.
 Micros Exchange::parent_cold() const {
-    bool shared = terms.parts.quotas && terms.site.ratings_are_links;
-    return terms.site.parent_cold + (shared ? clocks_apart : 0);
+    bool shared = terms.features.quotas && terms.settings.ratings_are_links;
+    return terms.settings.parent_cold + (shared ? clocks_apart : 0);
 }
 
-std::vector<CacheId> Exchange::young() const {
+std::vector<CacheId> Exchange::cold_servers() const {
     std::vector<CacheId> all;
     for (auto& [id, entry] : cold) all.push_back(id);
     return all;
 }
 
-double Exchange::right(CacheId server, const Times& now) {
+double Exchange::available_quota(CacheId server, const ClockReadings& now) {
     return cold.contains(server) ? quotas.available(server, now.steady) : -1;
 }
-Micros Exchange::use(CacheId server, double work, Micros tag, const Times& now) {
-    return quotas.use(server, work, tag, now.steady);
+Micros Exchange::consume(CacheId server, double work, Micros tag, const ClockReadings& now) {
+    return quotas.consume(server, work, tag, now.steady);
 }
-void Exchange::give_back(CacheId server, double work, Micros tag, const Times& now) {
-    quotas.give_back(server, work, tag, now.steady);
+void Exchange::refund(CacheId server, double work, Micros tag, const ClockReadings& now) {
+    quotas.refund(server, work, tag, now.steady);
 }
-void Exchange::missed(CacheId server, double work, double usual, const Times& now) {
-    quotas.missed(server, work, usual, now.steady);
+void Exchange::record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now) {
+    quotas.record_unmet_demand(server, work, usual, now.steady);
 }
-bool Exchange::others_differ(const Times& now) const {
+bool Exchange::configuration_mismatch_seen(const ClockReadings& now) const {
     return differed_at > 0 && now.steady - differed_at < differed_for;
 }
 
 // ---- judgements
 
-void Exchange::witnessed(const std::vector<Testimony>& told, int measured, const Times& now) {
-    if (!terms.parts.judgements) return;
+void Exchange::report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now) {
+    if (!terms.features.health_reports) return;
     bool news = false;
     for (auto& one : told)
         news |= std::none_of(complaints.begin(), complaints.end(),
@@ -253,18 +253,18 @@
     if (news) membership.tell(3, membership.own_zone(), true, now.unix);
 }
 
-Hearsay Exchange::hearsay(CacheId server, Micros started, const Times& now) const {
-    return health_reports.weigh(server, static_cast<std::uint64_t>(started / ms), now.unix);
+Hearsay Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
+    return health_reports.aggregate(server, static_cast<std::uint64_t>(started / ms), now.unix);
 }
 
 // ---- counts
 
-int Exchange::asked(ObjectId object, const Times& now) {
-    return terms.parts.counts ? request_counts.asked(object, now.unix) : 0;
+int Exchange::count_request(ObjectId object, const ClockReadings& now) {
+    return terms.features.request_counts ? request_counts.count_request(object, now.unix) : 0;
 }
 
-int Exchange::heard_routers() const {
-    if (!terms.parts.counts) return 1;
+int Exchange::alive_routers_in_zone() const {
+    if (!terms.features.request_counts) return 1;
     int count = 1;
     for (Number who = 0; who < membership.routers(); who++)
         if (who != membership.number_of_self() && membership.state(who) == peers::State::Alive &&
@@ -277,8 +277,8 @@
 
 std::string Exchange::load(Number to, std::size_t room, Micros now) {
     Payload load;
-    load.terms = terms.parts.quotas ? hash : 0;
-    load.digest = terms.parts.facts ? facts.digest(now) : 0;
+    load.configuration_hash = terms.features.quotas ? hash : 0;
+    load.digest = terms.features.facts ? facts.digest(now) : 0;
     auto post = out.find(to);
     if (post != out.end()) {
         load.grants = post->second.grants;
@@ -287,16 +287,17 @@
     auto place = static_cast<std::size_t>(to);
     // Guards against a router without facts that nobody hears say so: without quotas its payload would be
     // empty, and an empty one is not heard.
-    load.never_empty = terms.parts.facts && unlike[place];
+    load.send_if_empty = terms.features.facts && unlike[place];
     std::size_t news = 0;
-    if (terms.parts.facts) {
-        load.facts = facts.next(facts_a_datagram, now, to);
+    if (terms.features.facts) {
+        load.facts = facts.next_to_send(facts_a_datagram, now, to);
         news = load.facts.size();
         if (unlike[place])
-            for (auto& fact : facts.in_turn(facts_a_datagram - news, now)) load.facts.push_back(fact);
+            for (auto& fact : facts.next_in_rotation(facts_a_datagram - news, now))
+                load.facts.push_back(fact);
     }
     bool neighbour = membership.zone_of(to) == membership.own_zone();
-    if (terms.parts.judgements && now - complaints_at < fresh_complaint)
+    if (terms.features.health_reports && now - complaints_at < fresh_complaint)
         for (std::size_t i = 0; i < std::min(complaints.size(), complaints_a_datagram); i++) {
             auto one = complaints[(complaint_turn + i) % complaints.size()];
             one.age = now - complaints_at;
@@ -305,12 +306,13 @@
     complaint_turn += load.complaints.size();
     load.breadth = breadth;
     // Guards against counts that take the bytes saved up for facts: the membership gives all its room then.
-    if (terms.parts.counts && neighbour && !facts_wait)
-        load.counts = request_counts.next(counts_a_datagram, now);
+    if (terms.features.request_counts && neighbour && !facts_wait)
+        load.counts = request_counts.next_to_send(counts_a_datagram, now);
     auto fitted = encode(load, room, now);
-    for (auto i = fitted.facts; i < news; i++) facts.untold(load.facts[i]);
+    for (auto i = fitted.facts; i < news; i++) facts.restore_unsent(load.facts[i]);
     if (fitted.facts == load.facts.size()) unlike[place] = false;
-    for (auto i = fitted.counts; i < load.counts.size(); i++) request_counts.untold(load.counts[i].name);
+    for (auto i = fitted.counts; i < load.counts.size(); i++)
+        request_counts.restore_unsent(load.counts[i].name);
     if (post != out.end()) {
         auto& asks = post->second.asks;
         auto& grants = post->second.grants;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -4,8 +4,8 @@
 //     Exchange exchange(membership, terms);
 //     exchange.at(times);                                // before the membership hears what came
 //     listing = exchange.listed(listing, times);         // the own coordinator's lists and purges, before
-//     the module auto changes = exchange.pass(live_since, times);   // what else the module has to be told
-//     server.right = exchange.right(id, times);          // at the start of a turn, for all of young()
+//     the module auto changes = exchange.tick(live_since, times);   // what else the module has to be told
+//     server.right = exchange.right(id, times);          // at the start of a turn, for all of cold_servers()
 //     auto until = exchange.use(id, work, now, times);   // at its end, for what was decided to be sent
 //
 // What it promises:
@@ -27,72 +27,75 @@
 
 namespace quillgrade::shared {
 
-struct Times {
+struct ClockReadings {
     Micros unix = 0;    // for what is compared between machines: purges, starts, epochs
     Micros steady = 0;  // for the lengths of leases
 };
 
-struct Parts {
-    bool facts = true, quotas = true, judgements = true, counts = true;
-    bool operator==(const Parts&) const = default;
+struct Features {
+    bool facts = true, quotas = true, health_reports = true, request_counts = true;
+    bool operator==(const Features&) const = default;
 };
 
-struct Terms {
-    Parts parts{};
-    Bounds site{};  // of the settings
-    int owners = 4;
-    Micros lease = 3'000'000;
+struct ExchangeOptions {
+    Features features{};
+    Bounds settings{};  // of the settings
+    int grantors = 4;
+    Micros lease_duration = 3'000'000;
     std::uint32_t seed = 1;
-    Times now{};
+    ClockReadings now{};
 };
 
 class Exchange : public peers::Piggyback {
 public:
     // `membership` outlives this; it carries it from now on.
-    Exchange(peers::Membership& membership, const Terms& terms);
+    Exchange(peers::Membership& membership, const ExchangeOptions& terms);
     ~Exchange() override;
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
     Exchange(Exchange&&) = delete;
     Exchange& operator=(Exchange&&) = delete;
 
-    void at(const Times& now) { last = now; }
-    feed::Listing listed(feed::Listing told, const Times& now);
-    void purged(const feed::PurgeNotice& notice, const Times& now);
-    Facts::Changes pass(Micros live, const Times& now);
+    void set_time(const ClockReadings& now) { last = now; }
+    feed::Listing apply_listing(feed::Listing told, const ClockReadings& now);
+    void record_purge(const feed::PurgeNotice& notice, const ClockReadings& now);
+    ReplicatedFacts::Changes tick(Micros live, const ClockReadings& now);
 
     // How long after its start, by this machine's clock, a parent is to be taken for cold: where budgets are
     // shared, longer than the settings say by as much as the clock may be ahead.
     Micros parent_cold() const;
     // Servers whose cold budget is shared now.
-    std::vector<CacheId> young() const;
-    double right(CacheId server, const Times& now);  // below 0: its budget is not shared
-    Micros use(CacheId server, double work, Micros tag, const Times& now);
-    void give_back(CacheId server, double work, Micros tag, const Times& now);
-    void missed(CacheId server, double work, double usual, const Times& now);
+    std::vector<CacheId> cold_servers() const;
+    double available_quota(CacheId server, const ClockReadings& now);  // below 0: its budget is not shared
+    Micros consume(CacheId server, double work, Micros tag, const ClockReadings& now);
+    void refund(CacheId server, double work, Micros tag, const ClockReadings& now);
+    void record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now);
 
     // What this router holds against servers, as it stands now.
-    void witnessed(const std::vector<Testimony>& told, int measured, const Times& now);
-    Hearsay hearsay(CacheId server, Micros started, const Times& now) const;
-    std::vector<CacheId> named() const { return health_reports.named(); }
+    void report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now);
+    Hearsay peer_health(CacheId server, Micros started, const ClockReadings& now) const;
+    std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
     // A first part is asked for: how many other routers of the location were asked for it too.
-    int asked(ObjectId object, const Times& now);
-    int heard_routers() const;  // of the location, this one included
+    int count_request(ObjectId object, const ClockReadings& now);
+    int alive_routers_in_zone() const;  // of the location, this one included
 
     std::string load(Number to, std::size_t room, Micros now) override;
     void unload(Number from, Life life, std::string_view bytes, Micros now) override;
 
-    struct Figures {
-        std::uint64_t malformed = 0, other_terms = 0, facts_heard = 0, counts_heard = 0, complaints_heard = 0,
-                      payload_bytes = 0;
+    struct Counters {
+        std::uint64_t malformed = 0, configuration_mismatches = 0, facts_received = 0, counts_received = 0,
+                      complaints_received = 0, payload_bytes = 0;
     };
-    const Figures& figures() const { return seen; }
-    const Quotas::Figures& quota_figures() const { return quotas.figures(); }
-    Quotas::Shares shares(CacheId server, const Times& now) { return quotas.shares(server, now.steady); }
-    const Facts& known() const { return facts; }
-    const RequestCounts& counted() const { return request_counts; }
-    bool others_differ(const Times& now) const;  // routers whose amounts are not the same were heard lately
+    const Counters& counters() const { return seen; }
+    const Quotas::Counters& quota_counters() const { return quotas.counters(); }
+    Quotas::Usage quota_usage(CacheId server, const ClockReadings& now) {
+        return quotas.usage(server, now.steady);
+    }
+    const ReplicatedFacts& known_facts() const { return facts; }
+    const RequestCounts& known_counts() const { return request_counts; }
+    bool configuration_mismatch_seen(
+        const ClockReadings& now) const;  // routers whose amounts are not the same were heard lately
 
 private:
     struct Out {
@@ -100,14 +103,14 @@
         std::vector<Grant> grants;
         Micros at = 0;
     };
-    void take(Number from, Life life, const Payload& load, const Times& now);
-    void tell_facts(const Times& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.site.parent_kind; }
+    void take(Number from, Life life, const Payload& load, const ClockReadings& now);
+    void tell_facts(const ClockReadings& now);
+    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
 
     peers::Membership& membership;
-    Terms terms;
+    ExchangeOptions terms;
     std::uint32_t hash;
-    Facts facts;
+    ReplicatedFacts facts;
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
@@ -120,8 +123,8 @@
     std::map<Number, Out> out;
     std::vector<bool> unlike;  // by router: its facts differ from mine
     bool facts_wait = false;   // some are to be told, and the bytes for it are being saved up
-    Times last{};
-    Figures seen;
+    ClockReadings last{};
+    Counters seen;
 };
 
 }  // namespace quillgrade::shared
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -19,17 +19,18 @@
 
 }  // namespace
 
-bool newer(const Fact& one, const Fact& other) {
+bool supersedes(const Fact& one, const Fact& other) {
     // The earlier birth of two that are else the same, so that all hold the same one.
-    return std::tuple(one.time, one.gone, other.born) > std::tuple(other.time, other.gone, one.born);
+    return std::tuple(one.time, one.gone, other.first_heard) >
+           std::tuple(other.time, other.gone, one.first_heard);
 }
 
-Facts::Facts(Micros purge_done, int routers)
+ReplicatedFacts::ReplicatedFacts(Micros purge_done, int routers)
     : purge_done(purge_done), times(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
 
 // ---- what this router's own sources say
 
-feed::Listing Facts::listed(feed::Listing told, Micros now) {
+feed::Listing ReplicatedFacts::apply_listing(feed::Listing told, Micros now) {
     std::set<CacheId> named;
     for (auto& endpoint : told.caches) {
         auto& entry = endpoint.entry;
@@ -45,7 +46,8 @@
         auto& kept = servers[entry.id];
         kept.told = endpoint;
         entry.listed = kept.shown = narrowed(kept, heard_live, now);
-        if (closed && entry.listed == Listed::Ready && reopened.size() < most) reopened.push_back(entry.id);
+        if (closed && entry.listed == Listed::Ready && reopened.size() < max_facts)
+            reopened.push_back(entry.id);
     }
     if (!told.complete) return told;
     for (auto server = servers.begin(); server != servers.end();) {
@@ -59,8 +61,8 @@
     return told;
 }
 
-void Facts::own(CacheId id, std::uint64_t start, Listed listed, Micros now) {
-    auto found = facts.find({About::Server, id});
+void ReplicatedFacts::own(CacheId id, std::uint64_t start, Listed listed, Micros now) {
+    auto found = facts.find({FactSubject::Server, id});
     if (listed == Listed::Ready) {
         // Taken back by those who said it: it is no fact any more, here.
         if (found != facts.end() && found->second.own && found->second.fact.time <= start) {
@@ -71,45 +73,45 @@
         return;
     }
     // What is long over where the router starts is known to all.
-    enter({About::Server, id, start, listed == Listed::Gone, in_ms(now)}, true, now);
+    enter({FactSubject::Server, id, start, listed == Listed::Gone, in_ms(now)}, true, now);
 }
 
-void Facts::purged(const feed::PurgeNotice& notice, Micros now) {
-    auto key = notice.object ? Key{About::Object, notice.object}
-                             : Key{About::Group, static_cast<std::uint64_t>(notice.group)};
+void ReplicatedFacts::record_purge(const feed::PurgeNotice& notice, Micros now) {
+    auto key = notice.object ? Key{FactSubject::Object, notice.object}
+                             : Key{FactSubject::Group, static_cast<std::uint64_t>(notice.group)};
     enter({key.first, key.second, in_ms(notice.at), false, in_ms(now)}, true, now);
 }
 
 // ---- what others say
 
-bool Facts::hear(const Fact& fact, Micros now, Number from) {
-    if (fact.about != About::Server && fact.time > in_ms(now + clocks_apart)) return false;
+bool ReplicatedFacts::receive(const Fact& fact, Micros now, Number from) {
+    if (fact.subject != FactSubject::Server && fact.time > in_ms(now + max_clock_skew)) return false;
     auto* known = enter(fact, false, now);
     if (!known) return false;
     known->teller = from;
-    if (fact.about != About::Server && !std::exchange(known->to_do, true))
-        untold_purges.emplace_back(fact.about, fact.key);
+    if (fact.subject != FactSubject::Server && !std::exchange(known->to_do, true))
+        untold_purges.emplace_back(fact.subject, fact.key);
     return true;
 }
 
-Facts::Known* Facts::enter(const Fact& told, bool own, Micros now) {
+ReplicatedFacts::Known* ReplicatedFacts::enter(const Fact& told, bool own, Micros now) {
     auto fact = told;
     // One born in the future, as a clock ahead has it, is as old as can be said here.
-    fact.born = std::min(fact.born, in_ms(now));
-    Key key{fact.about, fact.key};
+    fact.first_heard = std::min(fact.first_heard, in_ms(now));
+    Key key{fact.subject, fact.key};
     auto found = facts.find(key);
     if (found == facts.end()) {
-        if (facts.size() >= most && !own) {
+        if (facts.size() >= max_facts && !own) {
             seen_refused++;
             return nullptr;
         }
         // Guards against memory that grows: what this router was told itself takes the place of the oldest.
-        if (facts.size() >= most) forget(facts.find(by_order.begin()->second));
+        if (facts.size() >= max_facts) forget(facts.find(by_order.begin()->second));
         found = facts.emplace(key, Known{fact}).first;
     } else {
         auto& known = found->second;
         if (own && known.fact.time == fact.time && known.fact.gone == fact.gone) known.own = true;
-        if (!newer(fact, known.fact)) return nullptr;
+        if (!supersedes(fact, known.fact)) return nullptr;
         bool more = known.fact.time != fact.time || known.fact.gone != fact.gone;
         if (!more) {  // only its birth
             known.fact = fact;
@@ -121,7 +123,7 @@
     }
     auto& known = found->second;
     known.own = own;
-    known.teller = nobody;
+    known.teller = no_router;
     known.passed_over = 0;
     known.heard = now;
     known.order = ++last_order;
@@ -129,37 +131,39 @@
     return &known;
 }
 
-void Facts::take_out(const Key& key, Known& known) {
+void ReplicatedFacts::take_out(const Key& key, Known& known) {
     set_left(key, known, 0);
     by_order.erase(known.order);
-    if (key.first != About::Server) purge_ends.erase({end_of(known.fact), key});
+    if (key.first != FactSubject::Server) purge_ends.erase({end_of(known.fact), key});
 }
 
-void Facts::put_in(const Key& key, Known& known) {
+void ReplicatedFacts::put_in(const Key& key, Known& known) {
     set_left(key, known, times);
     by_order.emplace(known.order, key);
-    if (key.first != About::Server) purge_ends.emplace(end_of(known.fact), key);
+    if (key.first != FactSubject::Server) purge_ends.emplace(end_of(known.fact), key);
 }
 
-void Facts::set_left(const Key& key, Known& known, int left) {
+void ReplicatedFacts::set_left(const Key& key, Known& known, int left) {
     if (known.left > 0) waiting.erase({known.left, known.order, key});
     known.left = left;
     if (left > 0) waiting.insert({left, known.order, key});
 }
 
-Facts::Place Facts::forget(Place place) {
+ReplicatedFacts::Place ReplicatedFacts::forget(Place place) {
     take_out(place->first, place->second);
     return facts.erase(place);
 }
 
-std::uint64_t Facts::end_of(const Fact& purge) const { return purge.time + in_ms(purge_done + 2 * second); }
+std::uint64_t ReplicatedFacts::end_of(const Fact& purge) const {
+    return purge.time + in_ms(purge_done + 2 * second);
+}
 
-void Facts::forget_what_is_over(Micros now) {
+void ReplicatedFacts::forget_what_is_over(Micros now) {
     while (!purge_ends.empty() && in_ms(now) > purge_ends.begin()->first)
         forget(facts.find(purge_ends.begin()->second));
     // Servers stand before all purges. A server's fact is kept as long as it closes the server here.
-    static_assert(About::Server < About::Object && About::Server < About::Group);
-    for (auto known = facts.begin(); known != facts.end() && known->first.first == About::Server;) {
+    static_assert(FactSubject::Server < FactSubject::Object && FactSubject::Server < FactSubject::Group);
+    for (auto known = facts.begin(); known != facts.end() && known->first.first == FactSubject::Server;) {
         bool over = !current(known->second, now) && !servers.contains(known->first.second);
         known = over ? forget(known) : std::next(known);
     }
@@ -168,7 +172,7 @@
 // ---- what follows for the router
 
 // Whether no other server of its role and location is open here.
-bool Facts::last_of_its_role(const Entry& entry) const {
+bool ReplicatedFacts::last_of_its_role(const Entry& entry) const {
     for (auto& [id, other] : servers)
         if (id != entry.told.entry.id && other.shown == Listed::Ready &&
             other.told.entry.kind == entry.told.entry.kind && other.told.entry.zone == entry.told.entry.zone)
@@ -176,10 +180,10 @@
     return true;
 }
 
-Listed Facts::narrowed(const Entry& entry, Micros live, Micros now) {
+Listed ReplicatedFacts::narrowed(const Entry& entry, Micros live, Micros now) {
     auto& told = entry.told.entry;
     if (told.listed != Listed::Ready) return told.listed;
-    auto found = facts.find({About::Server, told.id});
+    auto found = facts.find({FactSubject::Server, told.id});
     if (found == facts.end()) return told.listed;
     auto& known = found->second;
     // What was said of an earlier process is nothing against this one.
@@ -188,7 +192,7 @@
     if (!known.lapsed) {
         Micros since = std::max(known.heard, live);
         bool deaf = live == 0;
-        if (!deaf && now - since >= contradicted) known.lapsed = true;
+        if (!deaf && now - since >= contradiction_timeout) known.lapsed = true;
     }
     if (known.lapsed) return told.listed;
     // A location's last path is shut by hearsay only where nothing better can be heard.
@@ -196,7 +200,7 @@
     return Listed::Draining;
 }
 
-Facts::Changes Facts::pass(Micros live, Micros now) {
+ReplicatedFacts::Changes ReplicatedFacts::tick(Micros live, Micros now) {
     Changes changes;
     changes.reopened = std::exchange(reopened, {});
     heard_live = live;
@@ -212,8 +216,8 @@
         auto found = facts.find(key);
         if (found == facts.end() || !std::exchange(found->second.to_do, false)) continue;
         auto& fact = found->second.fact;
-        changes.purges.push_back({fact.about == About::Object ? fact.key : 0,
-                                  fact.about == About::Group ? static_cast<int>(fact.key) : 0,
+        changes.purges.push_back({fact.subject == FactSubject::Object ? fact.key : 0,
+                                  fact.subject == FactSubject::Group ? static_cast<int>(fact.key) : 0,
                                   static_cast<Micros>(fact.time) * ms});
     }
     forget_what_is_over(now);
@@ -222,18 +226,20 @@
 
 // ---- telling
 
-bool Facts::current(const Known& known, Micros now) {
-    return !known.lapsed && in_ms(now) <= known.fact.born + in_ms(told_for);
+bool ReplicatedFacts::current(const Known& known, Micros now) {
+    return !known.lapsed && in_ms(now) <= known.fact.first_heard + in_ms(gossip_lifetime);
 }
 
-bool Facts::news() const { return !waiting.empty() && waiting.rbegin()->left > times - told_at_once; }
+bool ReplicatedFacts::has_unsent() const {
+    return !waiting.empty() && waiting.rbegin()->left > times - told_at_once;
+}
 
 // Guards against a cost that grows with what waits: a burst of purges fills the queue, and this is asked for
 // each datagram.
-std::vector<Fact> Facts::next(std::size_t most_now, Micros now, Number to) {
+std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, Number to) {
     std::vector<Fact> told;
     std::vector<Key> taken;
-    while (taken.size() < most_now && !waiting.empty()) {
+    while (taken.size() < max_count && !waiting.empty()) {
         auto key = waiting.rbegin()->key;
         auto& known = facts.at(key);
         auto left = known.left;
@@ -242,7 +248,7 @@
         taken.push_back(key);
         // Guards against tellings used up on who knows it, and may be cut off. In a tier of two there is
         // nobody else, so it is passed over a bounded number of times.
-        bool knows_it = to != nobody && known.teller == to && known.passed_over < told_at_once;
+        bool knows_it = to != no_router && known.teller == to && known.passed_over < told_at_once;
         if (knows_it)
             known.passed_over++;
         else
@@ -256,28 +262,28 @@
     return told;
 }
 
-void Facts::untold(const Fact& fact) {
-    auto found = facts.find({fact.about, fact.key});
+void ReplicatedFacts::restore_unsent(const Fact& fact) {
+    auto found = facts.find({fact.subject, fact.key});
     if (found == facts.end() || found->second.left >= times) return;
     set_left(found->first, found->second, found->second.left + 1);
 }
 
-std::uint32_t Facts::digest(Micros now) const {
+std::uint32_t ReplicatedFacts::digest(Micros now) const {
     std::uint32_t sum = 0;
     for (auto& [key, known] : facts) {
         auto& fact = known.fact;
-        if (!current(known, now) || in_ms(now) < fact.born + in_ms(settled)) continue;
+        if (!current(known, now) || in_ms(now) < fact.first_heard + in_ms(settled)) continue;
         const std::array<std::uint64_t, 3> words = {
-            fact.key, fact.time, static_cast<std::uint64_t>(fact.about) * 2 + (fact.gone ? 1 : 0)};
+            fact.key, fact.time, static_cast<std::uint64_t>(fact.subject) * 2 + (fact.gone ? 1 : 0)};
         sum += XXH32(words.data(), sizeof words, 0);
     }
     return sum;
 }
 
-std::vector<Fact> Facts::in_turn(std::size_t most_now, Micros now) {
+std::vector<Fact> ReplicatedFacts::next_in_rotation(std::size_t max_count, Micros now) {
     std::vector<Fact> told;
     auto at = facts.upper_bound(turn);
-    for (std::size_t i = 0; i < facts.size() && told.size() < most_now; i++) {
+    for (std::size_t i = 0; i < facts.size() && told.size() < max_count; i++) {
         if (at == facts.end()) at = facts.begin();
         if (current(at->second, now)) told.push_back(at->second.fact);
         turn = at->first;
@@ -286,7 +292,7 @@
     return told;
 }
 
-const Fact* Facts::find(About about, std::uint64_t key) const {
+const Fact* ReplicatedFacts::find(FactSubject about, std::uint64_t key) const {
     auto found = facts.find({about, key});
     return found == facts.end() ? nullptr : &found->second.fact;
 }
--- a/src/shared/facts.hpp
+++ b/src/shared/facts.hpp
@@ -1,7 +1,7 @@
 // What the coordinator told any router of the tier: drains and ends of servers, and purges. Each is a fact
 // that only ever narrows, and that is joined without order, so it may come late, twice, and by many ways.
 //
-//   of            known by            newer is                          over
+//   of            known by            newer is                            over
 //   a server      its id              the later start; of one start,    when this router's own list has said
 //                                     gone after draining               otherwise for `contradicted`, see
 //                                     below
@@ -35,38 +35,39 @@
 
 using peers::Number;
 
-enum class About : std::uint8_t { Server, Object, Group };
+enum class FactSubject : std::uint8_t { Server, Object, Group };
 
 struct Fact {
-    About about = About::Server;
-    std::uint64_t key = 0;   // the server's id, the object, the group
-    std::uint64_t time = 0;  // Unix milliseconds: the server's start, 0 long past; when the purge was
-    bool gone = false;       // of a server: it has gone; else it is draining
-    std::uint64_t born = 0;  // Unix milliseconds at which a router first heard it
+    FactSubject subject = FactSubject::Server;
+    std::uint64_t key = 0;          // the server's id, the object, the group
+    std::uint64_t time = 0;         // Unix milliseconds: the server's start, 0 long past; when the purge was
+    bool gone = false;              // of a server: it has gone; else it is draining
+    std::uint64_t first_heard = 0;  // Unix milliseconds at which a router first heard it
     bool operator==(const Fact&) const = default;
 };
 // Whether `one` says more than `other`, which is about the same.
-bool newer(const Fact& one, const Fact& other);
-inline const Fact& join(const Fact& held, const Fact& told) { return newer(told, held) ? told : held; }
+bool supersedes(const Fact& one, const Fact& other);
+inline const Fact& join(const Fact& held, const Fact& told) { return supersedes(told, held) ? told : held; }
 
-class Facts {
+class ReplicatedFacts {
 public:
     // How long a purge matters after its time, and how often each fact is told: as for news of the
     // membership.
-    Facts(Micros purge_done, int routers);
+    ReplicatedFacts(Micros purge_done, int routers);
 
-    static constexpr std::size_t most = 2048;
-    static constexpr Number nobody = -1;
-    static constexpr Micros contradicted = 8'000'000;  // what is told counts after 7 s whether it came or not
-    static constexpr Micros told_for = 60'000'000;     // from birth
-    static constexpr Micros clocks_apart = 5'000'000;  // later purges than that are no purges
+    static constexpr std::size_t max_facts = 2048;
+    static constexpr Number no_router = -1;
+    static constexpr Micros contradiction_timeout =
+        8'000'000;  // what is told counts after 7 s whether it came or not
+    static constexpr Micros gossip_lifetime = 60'000'000;  // from birth
+    static constexpr Micros max_clock_skew = 5'000'000;    // later purges than that are no purges
 
     // A list as this router's own sources have it: what it says of drains and ends is learned, and it is
     // narrowed by what was heard.
-    feed::Listing listed(feed::Listing told, Micros now);
-    void purged(const feed::PurgeNotice& notice, Micros now);
+    feed::Listing apply_listing(feed::Listing told, Micros now);
+    void record_purge(const feed::PurgeNotice& notice, Micros now);
     // From another router, `from`. True where it is news.
-    bool hear(const Fact& fact, Micros now, Number from = nobody);
+    bool receive(const Fact& fact, Micros now, Number from = no_router);
     // `live`: since when this router hears its own coordinator without a break, 0: it does not. What has
     // changed for the router since the last call: servers that are closed or open again, and purges.
     struct Changes {
@@ -75,32 +76,32 @@
         int closed = 0, opened = 0;     // servers, by what others have heard
         std::vector<CacheId> reopened;  // by a list: it tells of another process than what was heard
     };
-    Changes pass(Micros live, Micros now);
+    Changes tick(Micros live, Micros now);
 
-    bool news() const;  // some that fewer than three were told yet
+    bool has_unsent() const;  // some that fewer than three were told yet
     // To tell router `to`; they count as told. What `to` itself told first is left out, and doesn't count.
-    std::vector<Fact> next(std::size_t most, Micros now, Number to = nobody);
-    void untold(const Fact& fact);  // there was no room for it after all
+    std::vector<Fact> next_to_send(std::size_t max_count, Micros now, Number to = no_router);
+    void restore_unsent(const Fact& fact);  // there was no room for it after all
     // A hash of all that should be known everywhere by now, and facts in turn for one who knows otherwise.
     std::uint32_t digest(Micros now) const;
-    std::vector<Fact> in_turn(std::size_t most, Micros now);
+    std::vector<Fact> next_in_rotation(std::size_t max_count, Micros now);
 
-    const Fact* find(About about, std::uint64_t key) const;
+    const Fact* find(FactSubject about, std::uint64_t key) const;
     std::size_t size() const { return facts.size(); }
     std::uint64_t refused() const { return seen_refused; }
 
 private:
-    using Key = std::pair<About, std::uint64_t>;
+    using Key = std::pair<FactSubject, std::uint64_t>;
     struct Known {
         Fact fact;
-        bool own = false;         // this router's own coordinator says so too
-        bool lapsed = false;      // its own list says otherwise, and has the word
-        bool to_do = false;       // to be told to the router
-        Number teller = nobody;   // who was heard saying it first; nobody: the own coordinator
-        int passed_over = 0;      // datagrams to the teller that left it out
-        Micros heard = 0;         // when it became what it is, here
-        int left = 0;             // times to tell; above 0 it stands in `waiting`
-        std::uint64_t order = 0;  // later ones became what they are later
+        bool own = false;           // this router's own coordinator says so too
+        bool lapsed = false;        // its own list says otherwise, and has the word
+        bool to_do = false;         // to be told to the router
+        Number teller = no_router;  // who was heard saying it first; no_router: the own coordinator
+        int passed_over = 0;        // datagrams to the teller that left it out
+        Micros heard = 0;           // when it became what it is, here
+        int left = 0;               // times to tell; above 0 it stands in `waiting`
+        std::uint64_t order = 0;    // later ones became what they are later
     };
     // To tell: the last one first, which was told least often and, of those told as often, is the newest.
     struct Waiting {
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-void HealthReports::hear(Number witness, int zone, double trust, const Breadth& breadth,
-                         const Complaint& complaint, Micros now) {
-    if (complaint.age >= life || !(complaint.samples > 0)) return;
+void HealthReports::receive(Number witness, int zone, double trust, const Breadth& breadth,
+                            const Complaint& complaint, Micros now) {
+    if (complaint.age >= report_lifetime || !(complaint.samples > 0)) return;
     auto of = held.find(complaint.server);
     bool known = of != held.end() && of->second.contains(witness);
-    if (!known && count >= most) {
+    if (!known && count >= max_reports) {
         seen_refused++;
         return;
     }
@@ -28,12 +28,12 @@
                                             Held{complaint, now - complaint.age, zone, trust, doubted});
 }
 
-Hearsay HealthReports::weigh(CacheId server, std::uint64_t start, Micros now) const {
+Hearsay HealthReports::aggregate(CacheId server, std::uint64_t start, Micros now) const {
     auto of = held.find(server);
     if (of == held.end()) return {};
     std::vector<const Held*> believed, doubted;
     for (auto& [witness, one] : of->second) {
-        if (now - one.at >= life) continue;
+        if (now - one.at >= report_lifetime) continue;
         if (one.what.start != static_cast<std::uint32_t>(start)) continue;
         (one.doubted ? doubted : believed).push_back(&one);
     }
@@ -51,11 +51,11 @@
         auto weight = zone->second * one->trust *
                       std::exp2(-static_cast<double>(now - one->at) / static_cast<double>(half_life));
         zone->second = std::max(least_weight, zone->second / 2);
-        auto samples = std::min(one->what.samples, most_samples) * weight;
+        auto samples = std::min(one->what.samples, max_samples) * weight;
         sum.samples += samples;
-        sum.bad += samples * std::clamp(one->what.bad, 0.0, 1.0);
-        if (one->what.slow > 0) slow.emplace_back(one->what.slow, samples);
-        slow_weight += one->what.slow > 0 ? samples : 0;
+        sum.bad += samples * std::clamp(one->what.failure_share, 0.0, 1.0);
+        if (one->what.slowdown > 0) slow.emplace_back(one->what.slowdown, samples);
+        slow_weight += one->what.slowdown > 0 ? samples : 0;
     }
     if (sum.samples > 0) sum.bad /= sum.samples;
     // The weighted median: one witness can't make it whatever it likes.
@@ -71,7 +71,7 @@
     return sum;
 }
 
-std::vector<CacheId> HealthReports::named() const {
+std::vector<CacheId> HealthReports::reported_servers() const {
     std::vector<CacheId> all;
     for (auto& [server, by] : held) all.push_back(server);
     return all;
@@ -79,7 +79,7 @@
 
 void HealthReports::expire(Micros now) {
     for (auto of = held.begin(); of != held.end();) {
-        count -= std::erase_if(of->second, [&](auto& one) { return now - one.second.at >= life; });
+        count -= std::erase_if(of->second, [&](auto& one) { return now - one.second.at >= report_lifetime; });
         of = of->second.empty() ? held.erase(of) : std::next(of);
     }
 }
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -3,7 +3,7 @@
 // lifts one.
 //
 // A witness tells, for each server that stands out beside its peers, how many samples it has (they count as
-// `most_samples` at most), the share of failures, and how many times as slow as the peers the server is. They
+// `max_samples` at most), the share of failures, and how many times as slow as the peers the server is. They
 // weigh
 //   - by age: half after `half_life`, nothing after `life`;
 //   - by the witness's own trust: a quarter where it is accused, ill, or leaving;
@@ -32,7 +32,7 @@
 struct Complaint {
     CacheId server = 0;
     std::uint32_t start = 0;  // the lower half of the server's start in Unix milliseconds
-    double samples = 0, bad = 0, slow = 0;
+    double samples = 0, failure_share = 0, slowdown = 0;
     Micros age =
         0;  // since the witness last looked at its samples, when it was told; they are 5 s old at most
     bool operator==(const Complaint&) const = default;
@@ -44,16 +44,16 @@
 
 class HealthReports {
 public:
-    static constexpr Micros life = 5'000'000, half_life = 2'500'000;
-    static constexpr double most_samples = 4;
-    static constexpr std::size_t most = 1024;  // complaints kept
+    static constexpr Micros report_lifetime = 5'000'000, half_life = 2'500'000;
+    static constexpr double max_samples = 4;
+    static constexpr std::size_t max_reports = 1024;  // complaints kept
 
-    void hear(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
-              Micros now);
+    void receive(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
+                 Micros now);
     // `start`: in the list that this router has.
-    Hearsay weigh(CacheId server, std::uint64_t start, Micros now) const;
+    Hearsay aggregate(CacheId server, std::uint64_t start, Micros now) const;
     // Servers of which anything is held.
-    std::vector<CacheId> named() const;
+    std::vector<CacheId> reported_servers() const;
     void expire(Micros now);
     std::size_t size() const;
     std::uint64_t refused() const { return seen_refused; }
--- a/src/shared/payload.cpp
+++ b/src/shared/payload.cpp
@@ -26,24 +26,26 @@
         wire.complaints_size() > most_items || wire.counts_size() > most_items || wire.now() > most_time)
         return {};
     Payload load;
-    load.terms = wire.terms();
+    load.configuration_hash = wire.terms();
     load.digest = wire.digest();
     auto now = static_cast<std::int64_t>(wire.now());
     for (auto& told : wire.facts()) {
         if (told.what() > 3 || now == 0) return {};
         Fact fact;
-        fact.about = told.what() <= 1 ? About::Server : told.what() == 2 ? About::Object : About::Group;
+        fact.subject = told.what() <= 1   ? FactSubject::Server
+                       : told.what() == 2 ? FactSubject::Object
+                                          : FactSubject::Group;
         fact.gone = told.what() == 1;
         fact.key = told.key();
         std::int64_t time = now - told.before();
-        if (fact.about == About::Server) time = told.before() == 0 ? 0 : now - told.before() / 2;
+        if (fact.subject == FactSubject::Server) time = told.before() == 0 ? 0 : now - told.before() / 2;
         auto born = told.born() * 100;
         if (time < 0 || static_cast<std::uint64_t>(time) > most_time || born > most_time ||
-            (fact.about == About::Group && fact.key > 0xffff) || fact.key == 0) {
-            if (!(fact.about == About::Group && fact.key == 0)) return {};
+            (fact.subject == FactSubject::Group && fact.key > 0xffff) || fact.key == 0) {
+            if (!(fact.subject == FactSubject::Group && fact.key == 0)) return {};
         }
         fact.time = static_cast<std::uint64_t>(time);
-        fact.born = born > wire.now() ? 0 : wire.now() - born;
+        fact.first_heard = born > wire.now() ? 0 : wire.now() - born;
         load.facts.push_back(fact);
     }
     for (auto& told : wire.asks())
@@ -64,10 +66,10 @@
     return load;
 }
 
-Fitted encode(const Payload& load, std::size_t room, Micros unix_now) {
-    Fitted fitted;
+EncodedPayload encode(const Payload& load, std::size_t room, Micros unix_now) {
+    EncodedPayload fitted;
     wire::Payload wire;
-    wire.set_terms(load.terms);
+    wire.set_terms(load.configuration_hash);
     wire.set_digest(load.digest);
     if (wire.ByteSizeLong() > room) return fitted;
     auto now = static_cast<std::int64_t>(unix_now / ms);
@@ -95,7 +97,7 @@
         told->set_start(one.start);
         told->set_number(one.number);
         told->set_amount(amount_of(one.amount));
-        told->set_least(amount_of(one.least));
+        told->set_least(amount_of(one.min_amount));
         told->set_renews(one.renews);
         if (!fits(wire.mutable_asks(), fitted.asks)) break;
     }
@@ -103,15 +105,17 @@
         if (full) break;
         wire.set_now(static_cast<std::uint64_t>(now));
         auto* told = wire.add_facts();
-        told->set_what(one.about == About::Server ? one.gone : one.about == About::Object ? 2 : 3);
+        told->set_what(one.subject == FactSubject::Server   ? one.gone
+                       : one.subject == FactSubject::Object ? 2
+                                                            : 3);
         told->set_key(one.key);
         auto before = now - static_cast<std::int64_t>(one.time);
-        told->set_before(one.about != About::Server ? before
-                         : one.time == 0            ? 0
-                                                    : before * 2 + (before < 0 ? -1 : 1));
-        told->set_born(
-            static_cast<std::uint64_t>(std::max<std::int64_t>(0, now - static_cast<std::int64_t>(one.born))) /
-            100);
+        told->set_before(one.subject != FactSubject::Server ? before
+                         : one.time == 0                    ? 0
+                                                            : before * 2 + (before < 0 ? -1 : 1));
+        told->set_born(static_cast<std::uint64_t>(
+                           std::max<std::int64_t>(0, now - static_cast<std::int64_t>(one.first_heard))) /
+                       100);
         if (!fits(wire.mutable_facts(), fitted.facts)) break;
     }
     if (fitted.facts == 0) wire.set_now(0);
@@ -123,8 +127,8 @@
         told->set_server(one.server);
         told->set_start(one.start);
         told->set_samples(static_cast<std::uint32_t>(std::clamp(one.samples, 0.0, 1e6)));
-        told->set_bad(static_cast<std::uint32_t>(std::lround(std::clamp(one.bad, 0.0, 1.0) * 100)));
-        told->set_slow(static_cast<std::uint32_t>(std::lround(std::clamp(one.slow, 0.0, 1e5) * 10)));
+        told->set_bad(static_cast<std::uint32_t>(std::lround(std::clamp(one.failure_share, 0.0, 1.0) * 100)));
+        told->set_slow(static_cast<std::uint32_t>(std::lround(std::clamp(one.slowdown, 0.0, 1e5) * 10)));
         told->set_age(static_cast<std::uint32_t>(std::clamp<Micros>(one.age / (100 * ms), 0, 6000)));
         if (!fits(wire.mutable_complaints(), fitted.complaints)) break;
     }
@@ -137,7 +141,7 @@
         told->set_before(one.epoch != load.counts.front().epoch);
         if (!fits(wire.mutable_counts(), fitted.counts)) break;
     }
-    if (load.never_empty && wire.ByteSizeLong() == 0) {
+    if (load.send_if_empty && wire.ByteSizeLong() == 0) {
         wire.set_now(static_cast<std::uint64_t>(now));
         if (wire.ByteSizeLong() > room) return {};
     }
--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -20,8 +20,8 @@
 //      and blocks until one window past its own T' + lease. T' is later than T in true time, so no clocks are
 //      compared: each measures a length. The clocks have to be steady: they neither jump nor stand still, and
 //      run within 1% of each other, which `margin` covers.
-//   3. The right is looked up again where the request is written (`good_for`): a process that was stopped in
-//   between
+//   3. The right is looked up again where the request is written (`use_validity`): a process that was stopped
+//   in between
 //      does not send. What is left is a stop between that look and the system's call right after it.
 //   4. A lease is taken once: by the number of its ask, which a new life does not know.
 //   5. A new life neither uses nor lends before all that its last one may have promised or used is over.
@@ -47,12 +47,12 @@
 using peers::Life;
 using peers::Number;
 
-struct QuotaTerms {
+struct QuotaOptions {
     Number self = 0;
     int routers = 1;
-    int owners = 4;             // of each server's budget at a time; all routers need the same
-    Micros window = 1'000'000;  // over which the settings bound the work
-    Micros lease = 3'000'000;   // how long a lease lasts; all routers need the same
+    int grantors = 4;                   // of each server's budget at a time; all routers need the same
+    Micros window = 1'000'000;          // over which the settings bound the work
+    Micros lease_duration = 3'000'000;  // how long a lease lasts; all routers need the same
     std::uint32_t seed = 1;
     Micros now = 0;  // at the start of this life
 };
@@ -61,14 +61,14 @@
 struct ColdServer {
     CacheId id;
     std::uint64_t start;  // Unix milliseconds
-    double whole;
+    double budget;
 };
 
 struct Ask {
     CacheId server = 0;
     std::uint32_t start = 0;  // the lower half of the server's start
     std::uint32_t number = 0;
-    double amount = 0, least = 0;
+    double amount = 0, min_amount = 0;
     std::uint32_t renews = 0;  // the lease that is to go on, for `amount` in all, by the number of its first
                                // ask; 0: a new one
     bool operator==(const Ask&) const = default;
@@ -79,40 +79,40 @@
     double amount = 0;
     bool operator==(const Grant&) const = default;
 };
-template <class What>
-struct Posted {
+template <class Message>
+struct Addressed {
     Number to;
-    What what;
+    Message message;
 };
 
 class Quotas {
 public:
-    explicit Quotas(const QuotaTerms& terms);
+    explicit Quotas(const QuotaOptions& terms);
 
-    static constexpr std::size_t most_servers = 256, most_leases = 512;
+    static constexpr std::size_t max_servers = 256, max_leases = 512;
     // How long after it was looked up a right may be used at most.
-    static constexpr Micros good_for = 50'000;
-    // Uses count for so long: one may be written `good_for` after it was counted, the next one at once.
-    Micros counted() const { return terms.window + terms.window / 100 + good_for; }
-    Micros new_life_waits() const { return terms.lease + counted() + margin; }
+    static constexpr Micros use_validity = 50'000;
+    // Uses count for so long: one may be written `use_validity` after it was counted, the next one at once.
+    Micros use_lifetime() const { return terms.window + terms.window / 100 + use_validity; }
+    Micros restart_wait() const { return terms.lease_duration + use_lifetime() + margin; }
 
     // All servers that are cold now, drains included. One that is left out is forgotten only when nothing
     // that was used or lent of it can count any more: else a list that loses it and has it back would give it
     // twice.
-    void list(const std::vector<ColdServer>& cold, Micros now);
+    void set_cold_servers(const std::vector<ColdServer>& cold, Micros now);
     // What this router may send the server now; 0 also where it is not known here.
     double available(CacheId id, Micros now);
     // It sends that much, told as one by `tag`. Answers until when it has to be written.
-    Micros use(CacheId id, double work, Micros tag, Micros now);
+    Micros consume(CacheId id, double work, Micros tag, Micros now);
     // Part of what was told with that tag never reached the server, as is known now.
-    void give_back(CacheId id, double work, Micros tag, Micros now);
+    void refund(CacheId id, double work, Micros tag, Micros now);
     // Work that was looked for since the last call and found no right; one lookup's is `usual`.
-    void missed(CacheId id, double work, double usual, Micros now);
+    void record_unmet_demand(CacheId id, double work, double usual, Micros now);
 
     // What is due: asks and renewals. `alive`: whom it is of use to ask.
     template <class Alive>
-    std::vector<Posted<Ask>> asks(Alive alive, Micros now) {
-        std::vector<Posted<Ask>> out;
+    std::vector<Addressed<Ask>> due_asks(Alive alive, Micros now) {
+        std::vector<Addressed<Ask>> out;
         for (auto& [id, server] : servers) {
             plan(id, server, now);
             if (!server.due) continue;
@@ -129,23 +129,24 @@
         return out;
     }
     // What can't be granted at once waits for a while: for each borrower its last ask.
-    void asked(Number from, Life life, const Ask& ask, Micros now);
-    std::vector<Posted<Grant>> grants(Micros now);
-    void granted(Number from, const Grant& grant, Micros now);
+    void handle_ask(Number from, Life life, const Ask& ask, Micros now);
+    std::vector<Addressed<Grant>> issue_grants(Micros now);
+    void handle_grant(Number from, const Grant& grant, Micros now);
 
-    std::vector<Number> owners_of(CacheId server, std::uint64_t start) const;
+    std::vector<Number> grantors_of(CacheId server, std::uint64_t start) const;
     // Bytes aside, what an onlooker may want to know.
-    struct Figures {
-        std::uint64_t asked = 0, granted = 0, borrowed = 0, renewed = 0, refused = 0, bounded = 0, used = 0;
+    struct Counters {
+        std::uint64_t asks_sent = 0, leases_granted = 0, leases_received = 0, leases_renewed = 0,
+                      messages_refused = 0, amounts_capped = 0, uses = 0;
     };
-    const Figures& figures() const { return seen; }
+    const Counters& counters() const { return seen; }
     // Of one server: the own part, what of it was used in the last window, is lent, and is blocked after a
     // loan's end; and what is borrowed, and used of that.
-    struct Shares {
+    struct Usage {
         double part = 0, used = 0, lent = 0, ending = 0, borrowed = 0, borrowed_used = 0;
         std::vector<Number> borrowers{};
     };
-    Shares shares(CacheId id, Micros now);
+    Usage usage(CacheId id, Micros now);
     // What decides what it does from now on, times as lengths from `now`, for explorers (model/leases.cpp).
     // Numbers of asks go through `renumber`, as only which are alike matters.
     void fingerprint(std::vector<std::int64_t>& into, Micros now,
@@ -216,10 +217,10 @@
     double wish(Server& server, Micros now) const;
     std::optional<Grant> grant(Server& server, const Waiting& to, Micros now);
 
-    QuotaTerms terms;
+    QuotaOptions terms;
     std::map<CacheId, Server> servers;
     std::uint32_t number;
-    Figures seen;
+    Counters seen;
 };
 
 }  // namespace quillgrade::shared
--- a/src/shared/request_counts.cpp
+++ b/src/shared/request_counts.cpp
@@ -30,9 +30,9 @@
 RequestCounts::Name* RequestCounts::enter(std::uint64_t name) {
     auto found = names.find(name);
     if (found != names.end()) return &found->second;
-    if (names.size() >= most)
+    if (names.size() >= max_names)
         std::erase_if(names, [&](auto& one) { return ((one.second.now | one.second.before) & ~mine) == 0; });
-    if (names.size() >= most) {
+    if (names.size() >= max_names) {
         seen_dropped++;
         return nullptr;
     }
@@ -40,14 +40,14 @@
 }
 
 void RequestCounts::spread(std::uint64_t name, Name& one) {
-    if (std::popcount(one.now) > saturated) return;
+    if (std::popcount(one.now) > saturation_count) return;
     if (one.left <= 0) waiting.push_back(name);
     one.left = static_cast<std::int8_t>(times);
     // What was not told for long is told by others.
-    while (waiting.size() > 2 * most) waiting.pop_front();
+    while (waiting.size() > 2 * max_names) waiting.pop_front();
 }
 
-int RequestCounts::asked(std::uint64_t name, Micros now) {
+int RequestCounts::count_request(std::uint64_t name, Micros now) {
     turn(now);
     auto* one = enter(name);
     if (!one) return 0;
@@ -55,17 +55,17 @@
         one->now |= mine;
         spread(name, *one);
     }
-    return elsewhere(name, now);
+    return other_routers_asked(name, now);
 }
 
-int RequestCounts::elsewhere(std::uint64_t name, Micros /*now*/) const {
+int RequestCounts::other_routers_asked(std::uint64_t name, Micros /*now*/) const {
     auto found = names.find(name);
     if (found == names.end()) return 0;
     auto& one = found->second;
     return std::max(std::popcount(one.now & ~mine), std::popcount(one.before & ~mine) / 2);
 }
 
-bool RequestCounts::hear(const Count& count, Micros now) {
+bool RequestCounts::receive(const Count& count, Micros now) {
     turn(now);
     bool old = count.epoch + 1 == epoch;
     if (count.epoch != epoch && !old) {
@@ -81,12 +81,12 @@
     return true;
 }
 
-std::vector<Count> RequestCounts::next(std::size_t most_now, Micros now) {
+std::vector<Count> RequestCounts::next_to_send(std::size_t max_count, Micros now) {
     turn(now);
     std::vector<Count> told;
     // The newest first: it is the likeliest to be asked for elsewhere next.
     std::deque<std::uint64_t> again;
-    while (told.size() < most_now && !waiting.empty()) {
+    while (told.size() < max_count && !waiting.empty()) {
         auto name = waiting.back();
         waiting.pop_back();
         auto found = names.find(name);
@@ -99,7 +99,7 @@
     return told;
 }
 
-void RequestCounts::untold(std::uint64_t name) {
+void RequestCounts::restore_unsent(std::uint64_t name) {
     auto found = names.find(name);
     if (found == names.end()) return;
     if (found->second.left++ <= 0) waiting.push_back(name);
--- a/src/shared/request_counts.hpp
+++ b/src/shared/request_counts.hpp
@@ -33,23 +33,23 @@
 
 class RequestCounts {
 public:
-    static constexpr Micros epoch_lasts = 30'000'000;
-    static constexpr std::size_t most = 2048;  // names
-    static constexpr int saturated = 6;        // askers from which on a name is no more news
+    static constexpr Micros epoch_duration = 30'000'000;
+    static constexpr std::size_t max_names = 2048;  // names
+    static constexpr int saturation_count = 6;      // askers from which on a name is no more news
 
     RequestCounts(Number self, int routers);
     // This router is asked for it; answers how many others of the location were, as far as is known.
-    int asked(std::uint64_t name, Micros now);
-    int elsewhere(std::uint64_t name, Micros now) const;
-    bool hear(const Count& count, Micros now);              // true where it is news
-    std::vector<Count> next(std::size_t most, Micros now);  // to tell; they count as told
-    void untold(std::uint64_t name);                        // there was no room for it after all
-    bool news() const { return !waiting.empty(); }
+    int count_request(std::uint64_t name, Micros now);
+    int other_routers_asked(std::uint64_t name, Micros now) const;
+    bool receive(const Count& count, Micros now);                        // true where it is news
+    std::vector<Count> next_to_send(std::size_t max_count, Micros now);  // to tell; they count as told
+    void restore_unsent(std::uint64_t name);                             // there was no room for it after all
+    bool has_unsent() const { return !waiting.empty(); }
     std::size_t size() const { return names.size(); }
     std::uint64_t dropped() const { return seen_dropped; }
 
     static std::uint32_t bit_of(Number router);
-    static std::uint32_t epoch_of(Micros now) { return static_cast<std::uint32_t>(now / epoch_lasts); }
+    static std::uint32_t epoch_of(Micros now) { return static_cast<std::uint32_t>(now / epoch_duration); }
 
 private:
     struct Name {
--- a/tests/facts_queue_test.cpp
+++ b/tests/facts_queue_test.cpp
@@ -24,12 +24,12 @@
 constexpr std::size_t a_datagram = 10;
 
 Fact purge(std::uint64_t object, std::uint64_t time = now_ms) {
-    return {About::Object, object, time, false, now_ms};
+    return {FactSubject::Object, object, time, false, now_ms};
 }
 
-Facts with_waiting(std::uint64_t count) {
-    Facts facts(6 * second, routers);
-    for (std::uint64_t object = 1; object <= count; object++) facts.hear(purge(object), now);
+ReplicatedFacts with_waiting(std::uint64_t count) {
+    ReplicatedFacts facts(6 * second, routers);
+    for (std::uint64_t object = 1; object <= count; object++) facts.receive(purge(object), now);
     return facts;
 }
 
@@ -46,7 +46,7 @@
     for (int i = 0; i < tries; i++) {
         auto facts = with_waiting(waiting);
         auto start = thread_cpu_seconds();
-        for (int k = 0; k < datagrams; k++) facts.next(a_datagram, now);
+        for (int k = 0; k < datagrams; k++) facts.next_to_send(a_datagram, now);
         least = std::min(least, thread_cpu_seconds() - start);
     }
     return least;
@@ -55,7 +55,7 @@
 }  // namespace
 
 TEST_CASE("what a datagram costs grows by less than what waits to be told") {
-    constexpr std::uint64_t few = 256, many = Facts::most;
+    constexpr std::uint64_t few = 256, many = ReplicatedFacts::max_facts;
     // Eight times as many: a cost in proportion is 8, that of sorting more.
     CHECK(cost_of_telling(many) < static_cast<double>(many) / few * cost_of_telling(few));
     CHECK(cost_of_telling(many) < 4 * cost_of_telling(few));
@@ -65,23 +65,23 @@
     auto facts = with_waiting(3);
     auto keys = [&](std::size_t most) {
         std::vector<std::uint64_t> all;
-        for (auto& fact : facts.next(most, now)) all.push_back(fact.key);
+        for (auto& fact : facts.next_to_send(most, now)) all.push_back(fact.key);
         return all;
     };
     CHECK(keys(2) == std::vector<std::uint64_t>{3, 2});
     CHECK(keys(2) == std::vector<std::uint64_t>{1, 3});
-    facts.hear(purge(4), now);
+    facts.receive(purge(4), now);
     CHECK(keys(10) == std::vector<std::uint64_t>{4, 2, 1, 3});
 }
 
 TEST_CASE("each fact is told a bounded number of times, one that had no room once more") {
     auto facts = with_waiting(1);
-    facts.untold(facts.next(1, now).at(0));
+    facts.restore_unsent(facts.next_to_send(1, now).at(0));
     int told = 0;
-    while (!facts.next(1, now).empty()) told++;
+    while (!facts.next_to_send(1, now).empty()) told++;
     auto another = with_waiting(1);
     int without = 0;
-    while (!another.next(1, now).empty()) without++;
+    while (!another.next_to_send(1, now).empty()) without++;
     CHECK(told == without);
     CHECK(told > 3);
 }
@@ -89,21 +89,21 @@
 // A fact that had grown too old to be told left the queue, and stayed out of it when it became news again.
 TEST_CASE("a fact that left the queue unsaid is told when it becomes news again") {
     auto facts = with_waiting(1);
-    auto later = now + Facts::told_for + second;
-    CHECK(facts.next(a_datagram, later).empty());
-    facts.hear({About::Object, 1, static_cast<std::uint64_t>(later / ms), false,
-                static_cast<std::uint64_t>(later / ms)},
-               later);
-    CHECK(facts.next(a_datagram, later).size() == 1);
+    auto later = now + ReplicatedFacts::gossip_lifetime + second;
+    CHECK(facts.next_to_send(a_datagram, later).empty());
+    facts.receive({FactSubject::Object, 1, static_cast<std::uint64_t>(later / ms), false,
+                   static_cast<std::uint64_t>(later / ms)},
+                  later);
+    CHECK(facts.next_to_send(a_datagram, later).size() == 1);
 }
 
 TEST_CASE("facts that make room for others, or are over, are told no more") {
-    auto facts = with_waiting(Facts::most);
-    facts.purged({1'000'000, 0, now + ms}, now + ms);
-    CHECK(facts.next(1, now + ms).at(0).key == 1'000'000);
-    facts.pass(now, now + 20 * second);
+    auto facts = with_waiting(ReplicatedFacts::max_facts);
+    facts.record_purge({1'000'000, 0, now + ms}, now + ms);
+    CHECK(facts.next_to_send(1, now + ms).at(0).key == 1'000'000);
+    facts.tick(now, now + 20 * second);
     CHECK(facts.size() == 0);
-    CHECK(facts.next(a_datagram, now + 20 * second).empty());
+    CHECK(facts.next_to_send(a_datagram, now + 20 * second).empty());
 }
 
 // Found by the same samples once the queue was mended: with 2,048 facts held, each purge of the router's own
@@ -115,8 +115,8 @@
         auto facts = with_waiting(held);
         auto start = thread_cpu_seconds();
         for (std::uint64_t k = 0; k < purges; k++) {
-            facts.purged({1'000'000 + k, 0, now}, now);
-            facts.pass(now, now);
+            facts.record_purge({1'000'000 + k, 0, now}, now);
+            facts.tick(now, now);
         }
         return thread_cpu_seconds() - start;
     };
@@ -125,8 +125,8 @@
     constexpr int tries = 40;
     double many = 1e9, few = 1e9;
     for (int i = 0; i < tries; i++) {
-        many = std::min(many, cost_once(Facts::most));
-        few = std::min(few, cost_once(Facts::most / 8));
+        many = std::min(many, cost_once(ReplicatedFacts::max_facts));
+        few = std::min(few, cost_once(ReplicatedFacts::max_facts / 8));
     }
     // The queue grows by 200 on either side.
     CHECK(many < 4 * few);
@@ -134,17 +134,17 @@
 
 TEST_CASE("a purge heard twice before a pass is told to the router once, the later one") {
     auto facts = with_waiting(1);
-    facts.hear(purge(1, now_ms + 5), now);
-    auto changes = facts.pass(now, now);
+    facts.receive(purge(1, now_ms + 5), now);
+    auto changes = facts.tick(now, now);
     REQUIRE(changes.purges.size() == 1);
     CHECK(changes.purges[0].at == now + 5 * ms);
-    CHECK(facts.pass(now, now).purges.empty());
+    CHECK(facts.tick(now, now).purges.empty());
 }
 
 TEST_CASE("the oldest fact makes room for the own coordinator's, one that was renewed counts as new") {
-    auto facts = with_waiting(Facts::most);
-    facts.hear(purge(1, now_ms + 5), now + ms);
-    facts.purged({1'000'000, 0, now}, now + ms);
-    CHECK(facts.find(About::Object, 1));
-    CHECK(!facts.find(About::Object, 2));
+    auto facts = with_waiting(ReplicatedFacts::max_facts);
+    facts.receive(purge(1, now_ms + 5), now + ms);
+    facts.record_purge({1'000'000, 0, now}, now + ms);
+    CHECK(facts.find(FactSubject::Object, 1));
+    CHECK(!facts.find(FactSubject::Object, 2));
 }
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -35,12 +35,12 @@
 class Tier {
 public:
     Tier(int routers, std::uint64_t seed, double asked_per_s, rig::LinkConditions conditions,
-         Parts parts = {})
+         Features parts = {})
         : asked_per_s(asked_per_s), chance(static_cast<std::uint32_t>(seed)) {
         auto& terms = rig::partner_terms();
         terms.exchange = {};
-        terms.exchange.parts = parts;
-        terms.exchange.site = rig::shared_site();
+        terms.exchange.features = parts;
+        terms.exchange.settings = rig::shared_site();
         terms.steady = [this] { return fleet ? fleet->now() : 0; };
         fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::Rates{}, conditions);
         fleet->start_all();
@@ -49,8 +49,9 @@
         for (Number who = 0; who < routers; who++) list(who, all);
     }
     void list(Number who, const feed::Listing& listing) {
-        fleet->visit(
-            who, [&](rig::Partner& one) { one.exchange().listed(listing, one.times(fleet->clock(who))); });
+        fleet->visit(who, [&](rig::Partner& one) {
+            one.exchange().apply_listing(listing, one.times(fleet->clock(who)));
+        });
     }
     void drain(Number who, CacheId id, Micros started) {
         list(who, {false, {server(id, Listed::Draining, started)}});
@@ -65,8 +66,8 @@
                     auto times = one.times(fleet->clock(who));
                     bool asks =
                         unit(chance) * static_cast<double>(second) < asked_per_s * static_cast<double>(step);
-                    if (asks) one.exchange().asked(object(chance), times);
-                    one.exchange().at(times);
+                    if (asks) one.exchange().count_request(object(chance), times);
+                    one.exchange().set_time(times);
                     one.share(times.unix);
                 });
         }
@@ -87,7 +88,7 @@
         other.digest = 0x5eed;
         fleet->visit(who, [&](rig::Partner& one) {
             auto now = fleet->clock(who);
-            one.exchange().at(one.times(now));
+            one.exchange().set_time(one.times(now));
             one.exchange().unload(from, 1, encode(other, 100, now).bytes, now);
             one.share(now);
         });
@@ -179,7 +180,7 @@
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0});
     tier.go_until_all_are_alive();
     tier.go(5 * second);
-    REQUIRE(tier.fleet->protocol(1)->exchange().known().size() == 0);
+    REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
     int told = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
@@ -197,7 +198,7 @@
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0}, {true, false, false, false});
     tier.go_until_all_are_alive();
     tier.go(5 * second);
-    REQUIRE(tier.fleet->protocol(1)->exchange().known().size() == 0);
+    REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
     int told = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
@@ -211,16 +212,16 @@
 TEST_CASE("tellings are not used up on the router that told the fact, yet end where there is no other") {
     constexpr Number teller = 3, other = 4;
     constexpr Micros now = 1'764'576'000 * second;
-    Facts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
-    Fact drain{About::Server, 7, 0, false, now / ms};
-    facts.hear(drain, now, teller);
-    CHECK(facts.next(10, now, teller).empty());
-    CHECK(facts.news());
-    CHECK(facts.next(10, now, other) == std::vector<Fact>{drain});
-    in_a_tier_of_two.hear(drain, now, teller);
+    ReplicatedFacts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
+    Fact drain{FactSubject::Server, 7, 0, false, now / ms};
+    facts.receive(drain, now, teller);
+    CHECK(facts.next_to_send(10, now, teller).empty());
+    CHECK(facts.has_unsent());
+    CHECK(facts.next_to_send(10, now, other) == std::vector<Fact>{drain});
+    in_a_tier_of_two.receive(drain, now, teller);
     int datagrams = 0;
-    while (in_a_tier_of_two.news() && datagrams < 100)
-        datagrams += in_a_tier_of_two.next(10, now, teller).size() < 2;
+    while (in_a_tier_of_two.has_unsent() && datagrams < 100)
+        datagrams += in_a_tier_of_two.next_to_send(10, now, teller).size() < 2;
     CHECK(datagrams == 6);
-    CHECK(!in_a_tier_of_two.news());
+    CHECK(!in_a_tier_of_two.has_unsent());
 }
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -31,8 +31,8 @@
         : per_s(per_s), chance(static_cast<std::uint32_t>(seed)) {
         auto& terms = rig::partner_terms();
         terms.exchange = {};
-        terms.exchange.site = rig::shared_site();
-        terms.exchange.lease = lease;
+        terms.exchange.settings = rig::shared_site();
+        terms.exchange.lease_duration = lease;
         terms.steady = [this] { return fleet ? fleet->now() : noon_at; };
         peers::Rates rates;
         rates.bytes_per_s = 600;
@@ -46,7 +46,7 @@
         feed::Endpoint endpoint;
         endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
         fleet->visit(router, [&](rig::Partner& one) {
-            one.exchange().listed({false, {endpoint}}, one.times(fleet->clock(router)));
+            one.exchange().apply_listing({false, {endpoint}}, one.times(fleet->clock(router)));
         });
     }
     void restart(int router) {
@@ -87,9 +87,9 @@
         return judged.exceeded == 0 && judged.lookups > 20;
     }
     std::vector<Number> owners() const {
-        QuotaTerms terms;
+        QuotaOptions terms;
         terms.routers = fleet->count();
-        return Quotas(terms).owners_of(parent, static_cast<std::uint64_t>(started / ms));
+        return Quotas(terms).grantors_of(parent, static_cast<std::uint64_t>(started / ms));
     }
 
     static constexpr double work = 100'000;
@@ -136,22 +136,22 @@
 // An owner and one who borrows from it, with nothing between them.
 struct Two {
     explicit Two(double whole) {
-        QuotaTerms terms;
+        QuotaOptions terms;
         terms.routers = 4;
-        terms.owners = 1;
+        terms.grantors = 1;
         terms.now = -1000 * second;
-        while (Quotas(terms).owners_of(server, 5)[0] != 0) server++;
-        lease = terms.lease;
+        while (Quotas(terms).grantors_of(server, 5)[0] != 0) server++;
+        lease = terms.lease_duration;
         owner = std::make_unique<Quotas>(terms);
         terms.self = 1;
         terms.seed = 2;
         borrower = std::make_unique<Quotas>(terms);
-        for (auto* one : {owner.get(), borrower.get()}) one->list({{server, 5, whole}}, 0);
+        for (auto* one : {owner.get(), borrower.get()}) one->set_cold_servers({{server, 5, whole}}, 0);
     }
     Grant lend() {
-        borrower->missed(server, 100'000, 100'000, 0);
-        owner->asked(1, 1, borrower->asks([](Number) { return true; }, 0).at(0).what, 0);
-        return owner->grants(0).at(0).what;
+        borrower->record_unmet_demand(server, 100'000, 100'000, 0);
+        owner->handle_ask(1, 1, borrower->due_asks([](Number) { return true; }, 0).at(0).message, 0);
+        return owner->issue_grants(0).at(0).message;
     }
     CacheId server = 1;
     Micros lease = 0;
@@ -161,17 +161,17 @@
 bool doubled() {
     Two two(400'000);
     auto grant = two.lend();
-    two.borrower->granted(0, grant, 0);
-    two.borrower->granted(0, grant, 0);
+    two.borrower->handle_grant(0, grant, 0);
+    two.borrower->handle_grant(0, grant, 0);
     return two.borrower->available(two.server, 0) + two.owner->available(two.server, 0) <= 400'000;
 }
 
 // The borrower looks, is stopped until long after its lease, and goes on; the owner uses what it has back.
 bool stopped_before_sending() {
     Two two(100'000);
-    two.borrower->granted(0, two.lend(), 0);
-    auto until = two.borrower->use(two.server, 100'000, 1, second);
-    auto later = two.lease + two.owner->counted() + second;
+    two.borrower->handle_grant(0, two.lend(), 0);
+    auto until = two.borrower->consume(two.server, 100'000, 1, second);
+    auto later = two.lease + two.owner->use_lifetime() + second;
     bool owner_sends = two.owner->available(two.server, later) >= 100'000;
     bool borrower_sends = later + 10 * ms <= until;
     return owner_sends && !borrower_sends;
@@ -180,46 +180,46 @@
 // The last moment of a lease is used, and its owner wants the same right after its end.
 bool loans_that_move() {
     Two two(100'000);
-    two.borrower->granted(0, two.lend(), 0);
+    two.borrower->handle_grant(0, two.lend(), 0);
     auto last = two.lease - 60 * ms;
     bool used = two.borrower->available(two.server, last) >= 100'000;
-    two.borrower->use(two.server, 100'000, 1, last);
+    two.borrower->consume(two.server, 100'000, 1, last);
     return used && two.owner->available(two.server, two.lease + 10 * ms) < 100'000;
 }
 
 // A lease that is still under way reaches a new life of who asked.
 bool loans_to_an_earlier_life() {
-    QuotaTerms terms;
+    QuotaOptions terms;
     terms.routers = 4;
-    terms.owners = 1;
+    terms.grantors = 1;
     terms.now = -1000 * second;
     CacheId server = 1;
-    while (Quotas(terms).owners_of(server, 5)[0] != 0) server++;
+    while (Quotas(terms).grantors_of(server, 5)[0] != 0) server++;
     auto made = [&](Number self) {
         terms.self = self;
         terms.seed = static_cast<std::uint32_t>(self + 1);
         Quotas quotas(terms);
-        quotas.list({{server, 5, 100'000}}, 0);
+        quotas.set_cold_servers({{server, 5, 100'000}}, 0);
         return quotas;
     };
     auto owner = made(0), first = made(1);
-    first.missed(server, 100'000, 100'000, 0);
-    auto asks = first.asks([](Number) { return true; }, 0);
-    owner.asked(1, 1, asks.at(0).what, 0);
-    auto grant = owner.grants(0).at(0).what;
+    first.record_unmet_demand(server, 100'000, 100'000, 0);
+    auto asks = first.due_asks([](Number) { return true; }, 0);
+    owner.handle_ask(1, 1, asks.at(0).message, 0);
+    auto grant = owner.issue_grants(0).at(0).message;
     // It comes when the owner has it back already.
-    auto late = terms.lease + owner.counted() + 60 * ms;
+    auto late = terms.lease_duration + owner.use_lifetime() + 60 * ms;
     terms.seed = 99;
     auto next = made(1);
-    next.granted(0, grant, late);
+    next.handle_grant(0, grant, late);
     return next.available(server, late) + owner.available(server, late) <= 100'000;
 }
 
 bool amounts_invented() {
     Two two(400'000);
-    two.borrower->missed(two.server, 100'000, 100'000, 0);
-    auto ask = two.borrower->asks([](Number) { return true; }, 0).at(0).what;
-    two.borrower->granted(0, {two.server, ask.number, 1e9}, 0);
+    two.borrower->record_unmet_demand(two.server, 100'000, 100'000, 0);
+    auto ask = two.borrower->due_asks([](Number) { return true; }, 0).at(0).message;
+    two.borrower->handle_grant(0, {two.server, ask.number, 1e9}, 0);
     return two.borrower->available(two.server, 0) <= 100'000;
 }
 
@@ -227,70 +227,71 @@
     // Half of the routers were told to have other owners.
     Scene scene(12, 15);
     auto& terms = rig::partner_terms().exchange;
-    terms.owners = 3;
+    terms.grantors = 3;
     for (int i = 0; i < 12; i += 2) scene.restart(i);
-    terms.owners = 4;
+    terms.grantors = 4;
     for (int i = 0; i < 12; i++) scene.tell(i);
     scene.go(8 * second);
     bool crossed = false;
     for (int i = 0; i < 12; i++) {
         auto& one = *scene.fleet->protocol(i);
-        for (auto to : one.exchange().shares(parent, one.times(scene.fleet->clock(i))).borrowers)
+        for (auto to : one.exchange().quota_usage(parent, one.times(scene.fleet->clock(i))).borrowers)
             crossed |= to % 2 != i % 2;
     }
-    return scene.fleet->protocol(1)->exchange().figures().other_terms > 0 && !crossed;
+    return scene.fleet->protocol(1)->exchange().counters().configuration_mismatches > 0 && !crossed;
 }
 
 bool deaf_keeps_closed() {
-    Facts facts(6 * second, 10);
+    ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
     one.entry = {1, Listed::Ready, 4, 0, 0, 1, 0};
     other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
-    facts.listed({true, {one, other}}, noon_at);
-    facts.hear({About::Server, 1, 0, true, noon_ms}, noon_at);
-    facts.pass(0, noon_at);
-    return facts.pass(0, noon_at + 60 * second).opened == 0;
+    facts.apply_listing({true, {one, other}}, noon_at);
+    facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_at);
+    facts.tick(0, noon_at);
+    return facts.tick(0, noon_at + 60 * second).opened == 0;
 }
 
 bool next_process_is_open() {
-    Facts facts(6 * second, 10);
+    ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
     one.entry = {1, Listed::Ready, 4, 0, 0, 1, noon_at};
     other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
-    facts.listed({true, {one, other}}, noon_at);
-    facts.hear({About::Server, 1, noon_ms, true, noon_ms}, noon_at);
-    facts.pass(0, noon_at);
+    facts.apply_listing({true, {one, other}}, noon_at);
+    facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_at);
+    facts.tick(0, noon_at);
     one.entry.started = noon_at + 3 * second;
-    return facts.listed({true, {one, other}}, noon_at + 4 * second).caches[0].entry.listed == Listed::Ready;
+    return facts.apply_listing({true, {one, other}}, noon_at + 4 * second).caches[0].entry.listed ==
+           Listed::Ready;
 }
 
 bool later_purge_stays() {
-    Facts facts(6 * second, 10);
-    facts.hear({About::Object, 7, noon_ms, false, noon_ms}, noon_at);
-    facts.hear({About::Object, 7, noon_ms - 900, false, noon_ms}, noon_at);
-    return facts.find(About::Object, 7)->time == noon_ms;
+    ReplicatedFacts facts(6 * second, 10);
+    facts.receive({FactSubject::Object, 7, noon_ms, false, noon_ms}, noon_at);
+    facts.receive({FactSubject::Object, 7, noon_ms - 900, false, noon_ms}, noon_at);
+    return facts.find(FactSubject::Object, 7)->time == noon_ms;
 }
 
 bool one_witness_is_none() {
     HealthReports health_reports;
-    health_reports.hear(1, 0, 1, {5, 1}, {5, 0, 4, 1, 0, 0}, noon_at);
-    return health_reports.weigh(5, 0, noon_at).samples == 0;
+    health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 1, 0, 0}, noon_at);
+    return health_reports.aggregate(5, 0, noon_at).samples == 0;
 }
 
 bool liars_are_doubted() {
     // One whose own link is cut complains of all; one other has had bad luck with one server.
     HealthReports health_reports;
     for (CacheId server = 1; server <= 5; server++)
-        health_reports.hear(1, 0, 1, {5, 5}, {server, 0, 4, 1, 0, 0}, noon_at);
-    health_reports.hear(2, 0, 1, {5, 1}, {3, 0, 2, 1, 0, 0}, noon_at);
-    return health_reports.weigh(3, 0, noon_at).samples == 0;
+        health_reports.receive(1, 0, 1, {5, 5}, {server, 0, 4, 1, 0, 0}, noon_at);
+    health_reports.receive(2, 0, 1, {5, 1}, {3, 0, 2, 1, 0, 0}, noon_at);
+    return health_reports.aggregate(3, 0, noon_at).samples == 0;
 }
 
 bool old_counts_are_dropped() {
     RequestCounts request_counts(0, 40);
-    request_counts.asked(1, noon_at);
-    request_counts.hear({7, RequestCounts::epoch_of(noon_at) - 5, 0xffffffff}, noon_at);
-    return request_counts.elsewhere(7, noon_at) == 0;
+    request_counts.count_request(1, noon_at);
+    request_counts.receive({7, RequestCounts::epoch_of(noon_at) - 5, 0xffffffff}, noon_at);
+    return request_counts.other_routers_asked(7, noon_at) == 0;
 }
 
 struct Guard {
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -28,9 +28,9 @@
 feed::Listing listing(std::vector<feed::Endpoint> boxes, bool complete = false) {
     return {complete, std::move(boxes)};
 }
-Facts some_facts() { return Facts(6 * second, 10); }
+ReplicatedFacts some_facts() { return ReplicatedFacts(6 * second, 10); }
 
-std::vector<Fact> all_facts(About about) {
+std::vector<Fact> all_facts(FactSubject about) {
     std::vector<Fact> all;
     for (std::uint64_t time : {1, 2})
         for (bool gone : {false, true})
@@ -38,11 +38,11 @@
     return all;
 }
 
-QuotaTerms terms_of(Number self, int routers = 4, int owners = 1) {
-    QuotaTerms terms;
+QuotaOptions terms_of(Number self, int routers = 4, int owners = 1) {
+    QuotaOptions terms;
     terms.self = self;
     terms.routers = routers;
-    terms.owners = owners;
+    terms.grantors = owners;
     terms.now = -1000 * second;
     return terms;
 }
@@ -50,27 +50,27 @@
 CacheId owned_by(Number owner, int routers = 4) {
     Quotas quotas(terms_of(0, routers));
     CacheId id = 1;
-    while (quotas.owners_of(id, 5)[0] != owner) id++;
+    while (quotas.grantors_of(id, 5)[0] != owner) id++;
     return id;
 }
 struct Pair {  // router 0 owns, router 1 borrows
     CacheId server = owned_by(0);
     Quotas owner{terms_of(0)}, borrower{terms_of(1)};
     explicit Pair(double whole = 400'000) {
-        owner.list({{server, 5, whole}}, 0);
-        borrower.list({{server, 5, whole}}, 0);
+        owner.set_cold_servers({{server, 5, whole}}, 0);
+        borrower.set_cold_servers({{server, 5, whole}}, 0);
     }
-    std::vector<Posted<Ask>> asks(Micros now) {
-        return borrower.asks([](Number) { return true; }, now);
+    std::vector<Addressed<Ask>> asks(Micros now) {
+        return borrower.due_asks([](Number) { return true; }, now);
     }
     // A lease of one lookup, asked for and granted at once.
     bool lend(Micros now, double work = 100'000) {
-        borrower.missed(server, work, work, now);
+        borrower.record_unmet_demand(server, work, work, now);
         auto sent = asks(now);
         if (sent.empty()) return false;
-        owner.asked(1, 9, sent[0].what, now);
-        auto grants = owner.grants(now);
-        for (auto& grant : grants) borrower.granted(0, grant.what, now);
+        owner.handle_ask(1, 9, sent[0].message, now);
+        auto grants = owner.issue_grants(now);
+        for (auto& grant : grants) borrower.handle_grant(0, grant.message, now);
         return !grants.empty();
     }
 };
@@ -80,7 +80,7 @@
 // ---- facts
 
 TEST_CASE("facts join the same in any order, any number of times") {
-    for (auto about : {About::Server, About::Object}) {
+    for (auto about : {FactSubject::Server, FactSubject::Object}) {
         auto all = all_facts(about);
         for (auto& a : all) {
             CHECK(join(a, a) == a);
@@ -95,130 +95,132 @@
 
 TEST_CASE("a drain heard from another router closes the server, and only that") {
     auto facts = some_facts();
-    facts.listed(listing({box(1), box(2)}, true), noon_at);
-    CHECK(facts.hear({About::Server, 1, 0, false, noon_ms}, noon_at));
-    auto changes = facts.pass(0, noon_at);
+    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
+    CHECK(facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at));
+    auto changes = facts.tick(0, noon_at);
     REQUIRE(changes.listing.caches.size() == 1);
     CHECK(changes.listing.caches[0].entry.id == 1);
     CHECK(changes.listing.caches[0].entry.listed == Listed::Draining);
     CHECK(!changes.listing.complete);
-    CHECK(facts.pass(0, noon_at).listing.caches.empty());  // told once
+    CHECK(facts.tick(0, noon_at).listing.caches.empty());  // told once
     // A list that has it ready still is narrowed too.
-    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Draining);
+    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed ==
+          Listed::Draining);
 }
 
 TEST_CASE("a fact about a server that no list names adds none") {
     auto facts = some_facts();
-    facts.listed(listing({box(1)}, true), noon_at);
-    facts.hear({About::Server, 9, 0, true, noon_ms}, noon_at);
-    CHECK(facts.pass(0, noon_at).listing.caches.empty());
+    facts.apply_listing(listing({box(1)}, true), noon_at);
+    facts.receive({FactSubject::Server, 9, 0, true, noon_ms}, noon_at);
+    CHECK(facts.tick(0, noon_at).listing.caches.empty());
     // It overtook the list: once the list has it, it counts.
-    CHECK(facts.listed(listing({box(9)}), noon_at + second).caches[0].entry.listed == Listed::Draining);
+    CHECK(facts.apply_listing(listing({box(9)}), noon_at + second).caches[0].entry.listed ==
+          Listed::Draining);
 }
 
 TEST_CASE("who hears its coordinator goes by its own list again after a while, who doesn't never") {
     for (bool live : {true, false}) {
         auto facts = some_facts();
-        facts.listed(listing({box(1), box(2)}, true), noon_at);
-        facts.hear({About::Server, 1, 0, false, noon_ms}, noon_at);
-        CHECK(facts.pass(live ? noon_at : 0, noon_at).closed == 1);
-        auto later = noon_at + Facts::contradicted;
-        CHECK(facts.pass(live ? noon_at : 0, later - 1).opened == 0);
-        CHECK(facts.pass(live ? noon_at : 0, later).opened == (live ? 1 : 0));
-        CHECK(facts.pass(live ? noon_at : 0, noon_at + 3600 * second).opened == 0);
+        facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
+        facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at);
+        CHECK(facts.tick(live ? noon_at : 0, noon_at).closed == 1);
+        auto later = noon_at + ReplicatedFacts::contradiction_timeout;
+        CHECK(facts.tick(live ? noon_at : 0, later - 1).opened == 0);
+        CHECK(facts.tick(live ? noon_at : 0, later).opened == (live ? 1 : 0));
+        CHECK(facts.tick(live ? noon_at : 0, noon_at + 3600 * second).opened == 0);
     }
 }
 
 TEST_CASE("what counts is how long the coordinator is heard since, not how long it was before") {
     auto facts = some_facts();
-    facts.listed(listing({box(1), box(2)}, true), noon_at);
-    facts.hear({About::Server, 1, 0, false, noon_ms}, noon_at);
-    facts.pass(0, noon_at);
+    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
+    facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at);
+    facts.tick(0, noon_at);
     auto back = noon_at + 60 * second;
-    CHECK(facts.pass(back, back + Facts::contradicted - 1).opened == 0);
-    CHECK(facts.pass(back, back + Facts::contradicted).opened == 1);
+    CHECK(facts.tick(back, back + ReplicatedFacts::contradiction_timeout - 1).opened == 0);
+    CHECK(facts.tick(back, back + ReplicatedFacts::contradiction_timeout).opened == 1);
 }
 
 TEST_CASE("what was heard of a server's process is nothing against its next") {
     auto facts = some_facts();
-    facts.listed(listing({box(1, Listed::Ready, noon_at), box(2)}, true), noon_at);
-    facts.hear({About::Server, 1, noon_ms, true, noon_ms}, noon_at);
-    CHECK(facts.pass(0, noon_at).closed == 1);
-    auto next =
-        facts.listed(listing({box(1, Listed::Ready, noon_at + second), box(2)}, true), noon_at + 2 * second);
+    facts.apply_listing(listing({box(1, Listed::Ready, noon_at), box(2)}, true), noon_at);
+    facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_at);
+    CHECK(facts.tick(0, noon_at).closed == 1);
+    auto next = facts.apply_listing(listing({box(1, Listed::Ready, noon_at + second), box(2)}, true),
+                                    noon_at + 2 * second);
     CHECK(next.caches[0].entry.listed == Listed::Ready);
-    CHECK(facts.pass(0, noon_at + 2 * second).reopened == std::vector<CacheId>{1});
+    CHECK(facts.tick(0, noon_at + 2 * second).reopened == std::vector<CacheId>{1});
 }
 
 TEST_CASE("a drain that the own coordinator takes back is open at once") {
     auto facts = some_facts();
-    facts.listed(listing({box(1, Listed::Draining), box(2)}, true), noon_at);
-    CHECK(facts.listed(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Ready);
-    CHECK(facts.pass(noon_at, noon_at + second).listing.caches.empty());
+    facts.apply_listing(listing({box(1, Listed::Draining), box(2)}, true), noon_at);
+    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Ready);
+    CHECK(facts.tick(noon_at, noon_at + second).listing.caches.empty());
 }
 
 TEST_CASE("a location's last server is closed by hearsay only where the coordinator is not heard") {
     for (bool live : {true, false}) {
         auto facts = some_facts();
-        facts.listed(listing({box(1)}, true), noon_at);
-        facts.hear({About::Server, 1, 0, true, noon_ms}, noon_at);
-        CHECK(facts.pass(live ? noon_at - 60 * second : 0, noon_at).closed == (live ? 0 : 1));
+        facts.apply_listing(listing({box(1)}, true), noon_at);
+        facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_at);
+        CHECK(facts.tick(live ? noon_at - 60 * second : 0, noon_at).closed == (live ? 0 : 1));
     }
 }
 
 TEST_CASE("a list without a server says that it has gone, and so it is told") {
     auto facts = some_facts();
-    facts.listed(listing({box(1), box(2)}, true), noon_at);
-    facts.listed(listing({box(2)}, true), noon_at + second);
-    auto* fact = facts.find(About::Server, 1);
+    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
+    facts.apply_listing(listing({box(2)}, true), noon_at + second);
+    auto* fact = facts.find(FactSubject::Server, 1);
     REQUIRE(fact);
     CHECK(fact->gone);
-    auto told = facts.next(10, noon_at + second);
+    auto told = facts.next_to_send(10, noon_at + second);
     REQUIRE(told.size() == 1);
     CHECK(told[0].key == 1);
 }
 
 TEST_CASE("purges heard are told to the router once, the latest, and none from a clock far ahead") {
     auto facts = some_facts();
-    CHECK(facts.hear({About::Object, 7, noon_ms - 500, false, noon_ms}, noon_at));
-    CHECK(facts.hear({About::Object, 7, noon_ms - 100, false, noon_ms}, noon_at));
-    CHECK(!facts.hear({About::Object, 7, noon_ms - 300, false, noon_ms}, noon_at));
-    CHECK(!facts.hear({About::Group, 3, noon_ms + 6000, false, noon_ms}, noon_at));
-    auto changes = facts.pass(noon_at, noon_at);
+    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 500, false, noon_ms}, noon_at));
+    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 100, false, noon_ms}, noon_at));
+    CHECK(!facts.receive({FactSubject::Object, 7, noon_ms - 300, false, noon_ms}, noon_at));
+    CHECK(!facts.receive({FactSubject::Group, 3, noon_ms + 6000, false, noon_ms}, noon_at));
+    auto changes = facts.tick(noon_at, noon_at);
     REQUIRE(changes.purges.size() == 1);
     CHECK(changes.purges[0].object == 7);
     CHECK(changes.purges[0].at == noon_at - 100 * ms);
-    CHECK(facts.pass(noon_at, noon_at).purges.empty());
+    CHECK(facts.tick(noon_at, noon_at).purges.empty());
     CHECK(facts.size() == 1);
-    facts.pass(noon_at, noon_at + 9 * second);
+    facts.tick(noon_at, noon_at + 9 * second);
     CHECK(facts.size() == 0);  // no older copy can be left
 }
 
 TEST_CASE("facts are bounded: what is heard beyond is refused, what the own coordinator says is not") {
     auto facts = some_facts();
-    for (std::uint64_t i = 1; i <= Facts::most + 50; i++)
-        facts.hear({About::Object, i, noon_ms, false, noon_ms}, noon_at);
-    CHECK(facts.size() == Facts::most);
+    for (std::uint64_t i = 1; i <= ReplicatedFacts::max_facts + 50; i++)
+        facts.receive({FactSubject::Object, i, noon_ms, false, noon_ms}, noon_at);
+    CHECK(facts.size() == ReplicatedFacts::max_facts);
     CHECK(facts.refused() == 50);
-    facts.purged({1'000'000, 0, noon_at}, noon_at);
-    CHECK(facts.size() == Facts::most);
-    CHECK(facts.find(About::Object, 1'000'000));
+    facts.record_purge({1'000'000, 0, noon_at}, noon_at);
+    CHECK(facts.size() == ReplicatedFacts::max_facts);
+    CHECK(facts.find(FactSubject::Object, 1'000'000));
 }
 
 TEST_CASE("routers that hold the same facts have the same digest, in whatever order they heard them") {
     auto one = some_facts(), other = some_facts();
     std::vector<Fact> told;
     for (std::uint64_t i = 1; i <= 20; i++)
-        told.push_back({About::Object, i, noon_ms - i, false, noon_ms - 1000});
-    for (auto& fact : told) one.hear(fact, noon_at);
-    for (auto fact = told.rbegin(); fact != told.rend(); fact++) other.hear(*fact, noon_at + ms);
+        told.push_back({FactSubject::Object, i, noon_ms - i, false, noon_ms - 1000});
+    for (auto& fact : told) one.receive(fact, noon_at);
+    for (auto fact = told.rbegin(); fact != told.rend(); fact++) other.receive(*fact, noon_at + ms);
     CHECK(one.digest(noon_at) == other.digest(noon_at));
-    other.hear({About::Object, 21, noon_ms, false, noon_ms - 1000}, noon_at);
+    other.receive({FactSubject::Object, 21, noon_ms, false, noon_ms - 1000}, noon_at);
     CHECK(one.digest(noon_at) != other.digest(noon_at));
     // Told in turn, all come by.
     std::set<std::uint64_t> seen;
     for (int i = 0; i < 3; i++)
-        for (auto& fact : other.in_turn(7, noon_at)) seen.insert(fact.key);
+        for (auto& fact : other.next_in_rotation(7, noon_at)) seen.insert(fact.key);
     CHECK(seen.size() == 21);
 }
 
@@ -227,10 +229,10 @@
 TEST_CASE("all routers draw the same owners, and as many owners as routers are all of them") {
     Quotas one(terms_of(0, 300, 4)), other(terms_of(7, 300, 4)), few(terms_of(2, 3, 4));
     for (CacheId id = 1; id < 50; id++) {
-        auto owners = one.owners_of(id, 5);
-        CHECK(owners == other.owners_of(id, 5));
+        auto owners = one.grantors_of(id, 5);
+        CHECK(owners == other.grantors_of(id, 5));
         CHECK(std::set<Number>(owners.begin(), owners.end()).size() == 4);
-        auto all = few.owners_of(id, 5);
+        auto all = few.grantors_of(id, 5);
         CHECK(std::set<Number>(all.begin(), all.end()).size() == 3);
     }
 }
@@ -238,10 +240,10 @@
 TEST_CASE("an owner uses its part alone, and no more within a window") {
     Pair pair;
     CHECK(pair.owner.available(pair.server, 0) == 400'000);
-    pair.owner.use(pair.server, 300'000, 1, 0);
+    pair.owner.consume(pair.server, 300'000, 1, 0);
     CHECK(pair.owner.available(pair.server, 0) == 100'000);
     CHECK(pair.owner.available(pair.server, second) == 100'000);
-    CHECK(pair.owner.available(pair.server, pair.owner.counted()) == 400'000);
+    CHECK(pair.owner.available(pair.server, pair.owner.use_lifetime()) == 400'000);
     CHECK(pair.borrower.available(pair.server, 0) == 0);
     CHECK(pair.borrower.available(777, 0) == 0);
 }
@@ -251,61 +253,61 @@
     REQUIRE(pair.lend(0));
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
     CHECK(pair.owner.available(pair.server, 0) == 300'000);
-    auto end = terms_of(0).lease;
+    auto end = terms_of(0).lease_duration;
     CHECK(pair.borrower.available(pair.server, end - 60 * ms) == 100'000);
     CHECK(pair.borrower.available(pair.server, end) == 0);
-    CHECK(pair.owner.available(pair.server, end + pair.owner.counted()) == 300'000);
-    CHECK(pair.owner.available(pair.server, end + pair.owner.counted() + 50 * ms) == 400'000);
+    CHECK(pair.owner.available(pair.server, end + pair.owner.use_lifetime()) == 300'000);
+    CHECK(pair.owner.available(pair.server, end + pair.owner.use_lifetime() + 50 * ms) == 400'000);
 }
 
 TEST_CASE("a right is good for a moment, and not past its loan") {
     Pair pair;
     REQUIRE(pair.lend(0));
-    CHECK(pair.borrower.use(pair.server, 100'000, 1, second) == second + Quotas::good_for);
-    auto late = terms_of(0).lease - 70 * ms;
-    auto until = pair.borrower.use(pair.server, 1, 2, late);
-    CHECK(until <= terms_of(0).lease - 50 * ms);
+    CHECK(pair.borrower.consume(pair.server, 100'000, 1, second) == second + Quotas::use_validity);
+    auto late = terms_of(0).lease_duration - 70 * ms;
+    auto until = pair.borrower.consume(pair.server, 1, 2, late);
+    CHECK(until <= terms_of(0).lease_duration - 50 * ms);
 }
 
 TEST_CASE("a loan comes once, to who asked for it, and not too late") {
     Pair pair;
-    pair.borrower.missed(pair.server, 100'000, 100'000, 0);
-    auto ask = pair.asks(0).at(0).what;
-    pair.owner.asked(1, 9, ask, 0);
-    auto grant = pair.owner.grants(0).at(0).what;
+    pair.borrower.record_unmet_demand(pair.server, 100'000, 100'000, 0);
+    auto ask = pair.asks(0).at(0).message;
+    pair.owner.handle_ask(1, 9, ask, 0);
+    auto grant = pair.owner.issue_grants(0).at(0).message;
     auto copy = pair.borrower;
-    copy.granted(0, grant, terms_of(0).lease);  // its time is over
-    CHECK(copy.available(pair.server, terms_of(0).lease) == 0);
-    pair.borrower.granted(2, grant, 0);  // not from whom it was asked
+    copy.handle_grant(0, grant, terms_of(0).lease_duration);  // its time is over
+    CHECK(copy.available(pair.server, terms_of(0).lease_duration) == 0);
+    pair.borrower.handle_grant(2, grant, 0);  // not from whom it was asked
     CHECK(pair.borrower.available(pair.server, 0) == 0);
     auto other = grant;
     other.number++;
-    pair.borrower.granted(0, other, 0);
+    pair.borrower.handle_grant(0, other, 0);
     CHECK(pair.borrower.available(pair.server, 0) == 0);
-    pair.borrower.granted(0, grant, 0);
-    pair.borrower.granted(0, grant, 0);
+    pair.borrower.handle_grant(0, grant, 0);
+    pair.borrower.handle_grant(0, grant, 0);
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
     Quotas next_life(terms_of(1));
-    next_life.list({{pair.server, 5, 400'000}}, 0);
-    next_life.granted(0, grant, 0);
+    next_life.set_cold_servers({{pair.server, 5, 400'000}}, 0);
+    next_life.handle_grant(0, grant, 0);
     CHECK(next_life.available(pair.server, 0) == 0);
 }
 
 TEST_CASE("amounts that were not asked for are cut to what was") {
     Pair pair;
-    pair.borrower.missed(pair.server, 100'000, 100'000, 0);
-    auto ask = pair.asks(0).at(0).what;
-    pair.borrower.granted(0, {pair.server, ask.number, 1e12}, 0);
+    pair.borrower.record_unmet_demand(pair.server, 100'000, 100'000, 0);
+    auto ask = pair.asks(0).at(0).message;
+    pair.borrower.handle_grant(0, {pair.server, ask.number, 1e12}, 0);
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
-    CHECK(pair.borrower.figures().bounded == 1);
+    CHECK(pair.borrower.counters().amounts_capped == 1);
     // And an ask for everything gets half of the part at most.
-    pair.owner.asked(2, 9, {pair.server, 5, 1, 1e12, 100'000, 0}, 0);
-    auto grants = pair.owner.grants(0);
+    pair.owner.handle_ask(2, 9, {pair.server, 5, 1, 1e12, 100'000, 0}, 0);
+    auto grants = pair.owner.issue_grants(0);
     REQUIRE(grants.size() == 1);
-    CHECK(grants[0].what.amount == 200'000);
-    pair.owner.asked(2, 9, {pair.server, 5, 2, -1, 100'000, 0}, 0);
-    pair.owner.asked(2, 9, {pair.server, 5, 3, 1, 0, 0}, 0);
-    CHECK(pair.owner.grants(0).empty());
+    CHECK(grants[0].message.amount == 200'000);
+    pair.owner.handle_ask(2, 9, {pair.server, 5, 2, -1, 100'000, 0}, 0);
+    pair.owner.handle_ask(2, 9, {pair.server, 5, 3, 1, 0, 0}, 0);
+    CHECK(pair.owner.issue_grants(0).empty());
 }
 
 TEST_CASE("a new life neither uses nor lends before what its last one promised is over") {
@@ -313,47 +315,47 @@
     terms.now = 0;
     Quotas owner(terms);
     auto server = owned_by(0);
-    owner.list({{server, 5, 400'000}}, 0);
-    auto waits = owner.new_life_waits();
-    CHECK(waits >= terms.lease + owner.counted());
+    owner.set_cold_servers({{server, 5, 400'000}}, 0);
+    auto waits = owner.restart_wait();
+    CHECK(waits >= terms.lease_duration + owner.use_lifetime());
     CHECK(owner.available(server, waits - 1) == 0);
-    owner.asked(1, 9, {server, 5, 1, 100'000, 100'000, 0}, waits - 10);
-    CHECK(owner.grants(waits - 10).empty());
+    owner.handle_ask(1, 9, {server, 5, 1, 100'000, 100'000, 0}, waits - 10);
+    CHECK(owner.issue_grants(waits - 10).empty());
     CHECK(owner.available(server, waits) == 400'000);
-    CHECK(owner.grants(waits).size() == 1);  // it has waited here
+    CHECK(owner.issue_grants(waits).size() == 1);  // it has waited here
 }
 
 TEST_CASE("a loan in use is renewed, raised where more is wanted, and the owner blocks it on") {
     Pair pair;
     REQUIRE(pair.lend(0));
-    auto lease = terms_of(0).lease;
+    auto lease = terms_of(0).lease_duration;
     for (Micros now = 0; now < 4 * lease; now += 100 * ms) {
         if (pair.borrower.available(pair.server, now) >= 100'000)
-            pair.borrower.use(pair.server, 100'000, now, now);
+            pair.borrower.consume(pair.server, 100'000, now, now);
         pair.lend(now);
         REQUIRE(pair.borrower.available(pair.server, now) >= 0);
     }
-    CHECK(pair.owner.figures().renewed > 2);
-    auto shares = pair.borrower.shares(pair.server, 4 * lease - 100 * ms);
+    CHECK(pair.owner.counters().leases_renewed > 2);
+    auto shares = pair.borrower.usage(pair.server, 4 * lease - 100 * ms);
     CHECK(shares.borrowed >= 200'000);
-    CHECK(pair.owner.shares(pair.server, 4 * lease - 100 * ms).lent >= shares.borrowed);
+    CHECK(pair.owner.usage(pair.server, 4 * lease - 100 * ms).lent >= shares.borrowed);
 }
 
 TEST_CASE("what never reached the server is given back, to the use it was told with") {
     Pair pair;
-    pair.owner.use(pair.server, 300'000, 11, 0);
-    pair.owner.use(pair.server, 100'000, 12, 500 * ms);
-    pair.owner.give_back(pair.server, 100'000, 12, 600 * ms);
+    pair.owner.consume(pair.server, 300'000, 11, 0);
+    pair.owner.consume(pair.server, 100'000, 12, 500 * ms);
+    pair.owner.refund(pair.server, 100'000, 12, 600 * ms);
     CHECK(pair.owner.available(pair.server, 600 * ms) == 100'000);
-    pair.owner.give_back(pair.server, 100'000, 99, 600 * ms);
+    pair.owner.refund(pair.server, 100'000, 99, 600 * ms);
     CHECK(pair.owner.available(pair.server, 600 * ms) == 100'000);
 }
 
 TEST_CASE("a server that leaves the list and is back with the same start has not been forgotten") {
     Pair pair;
-    pair.owner.use(pair.server, 400'000, 1, 0);
-    pair.owner.list({}, 100 * ms);
-    pair.owner.list({{pair.server, 5, 400'000}}, 200 * ms);
+    pair.owner.consume(pair.server, 400'000, 1, 0);
+    pair.owner.set_cold_servers({}, 100 * ms);
+    pair.owner.set_cold_servers({{pair.server, 5, 400'000}}, 200 * ms);
     CHECK(pair.owner.available(pair.server, 200 * ms) == 0);
 }
 
@@ -374,7 +376,7 @@
             terms.seed = chance();
             all.emplace_back(terms);
             skew.push_back(draw(1000) * second);
-            all.back().list({{server, 5, whole}}, skew.back());
+            all.back().set_cold_servers({{server, 5, whole}}, skew.back());
         }
         struct Flying {
             Micros at;
@@ -394,14 +396,14 @@
             for (std::size_t i = 0; i < all.size(); i++) {
                 auto clock = now + skew[i];
                 auto& quotas = all[i];
-                quotas.list({{server, 5, whole}}, clock);
+                quotas.set_cold_servers({{server, 5, whole}}, clock);
                 if (draw(4) == 0) {
                     if (quotas.available(server, clock) >= 100'000) {
-                        auto until = quotas.use(server, 100'000, clock, clock);
+                        auto until = quotas.consume(server, 100'000, clock, clock);
                         // Mostly written at once, now and then after a stop.
                         pending.push_back({now + (draw(10) ? draw(60) * ms : draw(6000) * ms), until, i});
                     } else {
-                        quotas.missed(server, 100'000, 100'000, clock);
+                        quotas.record_unmet_demand(server, 100'000, 100'000, clock);
                     }
                 }
                 auto post = [&](Flying one) {
@@ -412,24 +414,24 @@
                     }
                 };
                 auto self = static_cast<Number>(i);
-                for (auto& [to, ask] : quotas.asks([](Number) { return true; }, clock))
+                for (auto& [to, ask] : quotas.due_asks([](Number) { return true; }, clock))
                     post({0, self, to, lives[i], ask, {}});
-                for (auto& [to, grant] : quotas.grants(clock)) post({0, self, to, lives[i], {}, grant});
+                for (auto& [to, grant] : quotas.issue_grants(clock)) post({0, self, to, lives[i], {}, grant});
                 if (draw(2000) == 0) {
                     lives[i]++;
                     auto terms = terms_of(self, routers, owners);
                     terms.now = clock;
                     terms.seed = chance();
                     quotas = Quotas(terms);
-                    quotas.list({{server, 5, whole}}, clock);
+                    quotas.set_cold_servers({{server, 5, whole}}, clock);
                     std::erase_if(pending, [&](auto& one) { return one.router == i; });
                 }
             }
             std::erase_if(flying, [&](auto& one) {
                 if (one.at > now) return false;
                 auto to = static_cast<std::size_t>(one.to);
-                if (one.ask) all[to].asked(one.from, one.life, *one.ask, now + skew[to]);
-                if (one.grant) all[to].granted(one.from, *one.grant, now + skew[to]);
+                if (one.ask) all[to].handle_ask(one.from, one.life, *one.ask, now + skew[to]);
+                if (one.grant) all[to].handle_grant(one.from, *one.grant, now + skew[to]);
                 return true;
             });
             std::erase_if(pending, [&](auto& one) {
@@ -455,17 +457,17 @@
 TEST_CASE("two witnesses make a judgement, one does not, and age makes it fade") {
     HealthReports health_reports;
     Complaint slow{5, 0, 3, 0, 6.0, 0};
-    health_reports.hear(1, 0, 1, {4, 1}, slow, noon_at);
-    CHECK(health_reports.weigh(5, 0, noon_at).samples == 0);
-    health_reports.hear(2, 1, 1, {4, 1}, slow, noon_at);
-    auto fresh = health_reports.weigh(5, 0, noon_at);
+    health_reports.receive(1, 0, 1, {4, 1}, slow, noon_at);
+    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 0);
+    health_reports.receive(2, 1, 1, {4, 1}, slow, noon_at);
+    auto fresh = health_reports.aggregate(5, 0, noon_at);
     CHECK(fresh.samples == 6);
     CHECK(fresh.slow == 6.0);
-    auto later = health_reports.weigh(5, 0, noon_at + HealthReports::half_life);
+    auto later = health_reports.aggregate(5, 0, noon_at + HealthReports::half_life);
     CHECK(later.samples == doctest::Approx(3));
-    CHECK(health_reports.weigh(5, 0, noon_at + HealthReports::life).samples == 0);
-    CHECK(health_reports.weigh(5, 1, noon_at).samples == 0);  // it was started again since
-    health_reports.expire(noon_at + HealthReports::life);
+    CHECK(health_reports.aggregate(5, 0, noon_at + HealthReports::report_lifetime).samples == 0);
+    CHECK(health_reports.aggregate(5, 1, noon_at).samples == 0);  // it was started again since
+    health_reports.expire(noon_at + HealthReports::report_lifetime);
     CHECK(health_reports.size() == 0);
 }
 
@@ -473,29 +475,29 @@
     HealthReports one_zone, many;
     Complaint bad{5, 0, 4, 1, 0, 0};
     for (Number i = 0; i < 4; i++) {
-        one_zone.hear(i, 0, 1, {4, 1}, bad, noon_at);
-        many.hear(i, i, 1, {4, 1}, bad, noon_at);
+        one_zone.receive(i, 0, 1, {4, 1}, bad, noon_at);
+        many.receive(i, i, 1, {4, 1}, bad, noon_at);
     }
-    CHECK(many.weigh(5, 0, noon_at).samples == 16);
-    CHECK(one_zone.weigh(5, 0, noon_at).samples == 8);
+    CHECK(many.aggregate(5, 0, noon_at).samples == 16);
+    CHECK(one_zone.aggregate(5, 0, noon_at).samples == 8);
 }
 
 TEST_CASE("a witness that alone complains of most servers is itself doubted") {
     HealthReports health_reports;
     Complaint bad{5, 0, 4, 1, 0, 0};
-    health_reports.hear(1, 0, 1, {5, 5}, bad, noon_at);
-    health_reports.hear(2, 1, 1, {5, 1}, bad, noon_at);
-    CHECK(health_reports.weigh(5, 0, noon_at).samples == 0);
-    health_reports.hear(3, 2, 1, {5, 1}, bad, noon_at);
-    CHECK(health_reports.weigh(5, 0, noon_at).samples == 12);  // beside two others it is heard
+    health_reports.receive(1, 0, 1, {5, 5}, bad, noon_at);
+    health_reports.receive(2, 1, 1, {5, 1}, bad, noon_at);
+    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 0);
+    health_reports.receive(3, 2, 1, {5, 1}, bad, noon_at);
+    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 12);  // beside two others it is heard
 }
 
 TEST_CASE("one witness can't make a server as slow as it likes") {
     HealthReports health_reports;
-    health_reports.hear(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_at);
-    health_reports.hear(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_at);
-    health_reports.hear(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_at);
-    CHECK(health_reports.weigh(5, 0, noon_at).slow == 3.2);
+    health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_at);
+    health_reports.receive(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_at);
+    health_reports.receive(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_at);
+    CHECK(health_reports.aggregate(5, 0, noon_at).slow == 3.2);
 }
 
 TEST_CASE("hearsay speaks only where own samples are few, and own samples beat it") {
@@ -555,22 +557,22 @@
     for (int step = 0; step < 4000; step++) {
         auto who = static_cast<Number>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
-        all[static_cast<std::size_t>(who)].asked(name, noon_at);
+        all[static_cast<std::size_t>(who)].count_request(name, noon_at);
         truly[name].insert(who);
         auto& from = all[chance() % routers];
         auto& to = all[chance() % routers];
-        for (auto& count : from.next(5, noon_at)) {
-            to.hear(count, noon_at);
-            to.hear(count, noon_at);
+        for (auto& count : from.next_to_send(5, noon_at)) {
+            to.receive(count, noon_at);
+            to.receive(count, noon_at);
         }
         for (std::uint64_t probe = 1; probe <= 50; probe += 7) {
-            auto elsewhere = to.elsewhere(probe, noon_at);
+            auto elsewhere = to.other_routers_asked(probe, noon_at);
             REQUIRE(elsewhere >= 0);
             REQUIRE(elsewhere <= static_cast<int>(truly[probe].size()));
         }
     }
     int told = 0;
-    for (std::uint64_t name = 1; name <= 50; name++) told += all[0].elsewhere(name, noon_at) >= 4;
+    for (std::uint64_t name = 1; name <= 50; name++) told += all[0].other_routers_asked(name, noon_at) >= 4;
     CHECK(told > 25);
 }
 
@@ -580,15 +582,15 @@
     for (Number i = 1; std::popcount(six) < 6; i++)
         if (RequestCounts::bit_of(i) != RequestCounts::bit_of(0)) six |= RequestCounts::bit_of(i);
     auto epoch = RequestCounts::epoch_of(noon_at);
-    CHECK(request_counts.hear({7, epoch, six}, noon_at));
-    CHECK(!request_counts.hear({7, epoch, six}, noon_at));
-    CHECK(request_counts.elsewhere(7, noon_at) == 6);
-    CHECK(request_counts.asked(8, noon_at + RequestCounts::epoch_lasts) == 0);
-    CHECK(request_counts.elsewhere(7, noon_at + RequestCounts::epoch_lasts) == 3);
-    CHECK(!request_counts.hear({9, epoch - 1, six}, noon_at + RequestCounts::epoch_lasts));
-    CHECK(request_counts.elsewhere(9, noon_at + RequestCounts::epoch_lasts) == 0);
-    request_counts.asked(8, noon_at + 2 * RequestCounts::epoch_lasts);
-    CHECK(request_counts.elsewhere(7, noon_at + 2 * RequestCounts::epoch_lasts) == 0);
+    CHECK(request_counts.receive({7, epoch, six}, noon_at));
+    CHECK(!request_counts.receive({7, epoch, six}, noon_at));
+    CHECK(request_counts.other_routers_asked(7, noon_at) == 6);
+    CHECK(request_counts.count_request(8, noon_at + RequestCounts::epoch_duration) == 0);
+    CHECK(request_counts.other_routers_asked(7, noon_at + RequestCounts::epoch_duration) == 3);
+    CHECK(!request_counts.receive({9, epoch - 1, six}, noon_at + RequestCounts::epoch_duration));
+    CHECK(request_counts.other_routers_asked(9, noon_at + RequestCounts::epoch_duration) == 0);
+    request_counts.count_request(8, noon_at + 2 * RequestCounts::epoch_duration);
+    CHECK(request_counts.other_routers_asked(7, noon_at + 2 * RequestCounts::epoch_duration) == 0);
 }
 
 TEST_CASE("names are bounded, and those that change a draw stay") {
@@ -596,10 +598,11 @@
     auto epoch = RequestCounts::epoch_of(noon_at);
     auto other = RequestCounts::bit_of(1) == RequestCounts::bit_of(0) ? RequestCounts::bit_of(2)
                                                                       : RequestCounts::bit_of(1);
-    for (std::uint64_t i = 1; i <= 100; i++) request_counts.hear({i, epoch, other}, noon_at);
-    for (std::uint64_t i = 1000; i < 1000 + 3 * RequestCounts::most; i++) request_counts.asked(i, noon_at);
-    CHECK(request_counts.size() <= RequestCounts::most);
-    for (std::uint64_t i = 1; i <= 100; i++) REQUIRE(request_counts.elsewhere(i, noon_at) == 1);
+    for (std::uint64_t i = 1; i <= 100; i++) request_counts.receive({i, epoch, other}, noon_at);
+    for (std::uint64_t i = 1000; i < 1000 + 3 * RequestCounts::max_names; i++)
+        request_counts.count_request(i, noon_at);
+    CHECK(request_counts.size() <= RequestCounts::max_names);
+    for (std::uint64_t i = 1; i <= 100; i++) REQUIRE(request_counts.other_routers_asked(i, noon_at) == 1);
 }
 
 TEST_CASE("p follows how much of the location is heard, without a jump") {
@@ -621,12 +624,12 @@
 
 TEST_CASE("a load is read as it was written, within its room") {
     Payload load;
-    load.terms = 77;
+    load.configuration_hash = 77;
     load.digest = 88;
-    load.facts = {{About::Server, 5, 0, true, noon_ms - 300},
-                  {About::Server, 6, noon_ms - 12'345, false, noon_ms},
-                  {About::Object, ~0ULL, noon_ms - 50, false, noon_ms - 100},
-                  {About::Group, 0, noon_ms + 20, false, noon_ms}};
+    load.facts = {{FactSubject::Server, 5, 0, true, noon_ms - 300},
+                  {FactSubject::Server, 6, noon_ms - 12'345, false, noon_ms},
+                  {FactSubject::Object, ~0ULL, noon_ms - 50, false, noon_ms - 100},
+                  {FactSubject::Group, 0, noon_ms + 20, false, noon_ms}};
     load.asks = {{9, 10, 11, 100'000, 50'000, 12}};
     load.grants = {{9, 11, 100'000}};
     load.breadth = {20, 2};
@@ -654,7 +657,7 @@
 TEST_CASE("loads of any bytes cost only themselves") {
     std::mt19937 chance(3);
     Payload load;
-    load.facts = {{About::Object, 7, noon_ms, false, noon_ms}};
+    load.facts = {{FactSubject::Object, 7, noon_ms, false, noon_ms}};
     load.asks = {{9, 10, 11, 100'000, 50'000, 12}};
     auto good = encode(load, 250, noon_at).bytes;
     for (int i = 0; i < 20'000; i++) {
@@ -705,27 +708,27 @@
     start.routers = 12;
     start.now = noon_at;
     peers::Membership membership(start);
-    Terms terms;
-    terms.site = rig::shared_site();
+    ExchangeOptions terms;
+    terms.settings = rig::shared_site();
     terms.now = {noon_at, 1000 * second};
     Exchange exchange(membership, terms);
     feed::Endpoint parent;
-    parent.entry = {101, Listed::Ready, 4, terms.site.parent_kind, 0, 0, noon_at};
-    auto at = [&](Micros age) { return Times{noon_at + age, 1000 * second + age}; };
+    parent.entry = {101, Listed::Ready, 4, terms.settings.parent_kind, 0, 0, noon_at};
+    auto at = [&](Micros age) { return ClockReadings{noon_at + age, 1000 * second + age}; };
     auto is_shared = [&](Micros age) {
-        exchange.pass(1, at(age));
-        return exchange.right(101, at(age)) >= 0;
+        exchange.tick(1, at(age));
+        return exchange.available_quota(101, at(age)) >= 0;
     };
-    exchange.listed(listing({parent}), at(0));
-    const auto cold = terms.site.parent_cold;
+    exchange.apply_listing(listing({parent}), at(0));
+    const auto cold = terms.settings.parent_cold;
     CHECK(exchange.parent_cold() == cold + ahead);
     CHECK(is_shared(cold - ms));
     CHECK(is_shared(cold + ahead - ms));
     CHECK(!is_shared(cold + ahead));
     // A list that tells the server anew, in that moment, changes nothing.
-    exchange.listed(listing({parent}), at(cold + ahead - ms));
+    exchange.apply_listing(listing({parent}), at(cold + ahead - ms));
     CHECK(is_shared(cold + ahead - ms));
-    exchange.listed(listing({parent}), at(cold + ahead));
+    exchange.apply_listing(listing({parent}), at(cold + ahead));
     CHECK(!is_shared(cold + ahead));
 }
 
@@ -736,13 +739,13 @@
     start.now = noon_at;
     for (bool links : {false, true}) {
         peers::Membership membership(start);
-        Terms terms;
-        terms.site = rig::shared_site();
-        terms.site.ratings_are_links = links;
-        terms.parts.quotas = !links;
+        ExchangeOptions terms;
+        terms.settings = rig::shared_site();
+        terms.settings.ratings_are_links = links;
+        terms.features.quotas = !links;
         terms.now = {noon_at, 1000 * second};
         Exchange exchange(membership, terms);
-        CHECK(exchange.parent_cold() == terms.site.parent_cold);
+        CHECK(exchange.parent_cold() == terms.settings.parent_cold);
     }
 }
 
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -104,12 +104,12 @@
 // A payload with something in every field.
 shared::Payload filled_payload() {
     shared::Payload payload;
-    payload.terms = 0x11223344;
+    payload.configuration_hash = 0x11223344;
     payload.digest = 0xa1b2c3d4;
-    payload.facts = {{shared::About::Server, 5, 0, true, sent_ms - 300},
-                     {shared::About::Server, 6, sent_ms - 12'345, false, sent_ms},
-                     {shared::About::Object, ~0ULL, sent_ms - 50, false, sent_ms - 100},
-                     {shared::About::Group, 17, sent_ms + 20, false, sent_ms}};
+    payload.facts = {{shared::FactSubject::Server, 5, 0, true, sent_ms - 300},
+                     {shared::FactSubject::Server, 6, sent_ms - 12'345, false, sent_ms},
+                     {shared::FactSubject::Object, ~0ULL, sent_ms - 50, false, sent_ms - 100},
+                     {shared::FactSubject::Group, 17, sent_ms + 20, false, sent_ms}};
     payload.asks = {{9, 10, 11, 100'000, 50'000, 12}};
     payload.grants = {{9, 11, 100'000}};
     payload.breadth = {20, 2};
@@ -158,7 +158,7 @@
     auto read = shared::decode(bytes_of(pinned_payload), sent_at);
     REQUIRE(read);
     auto written = filled_payload();
-    CHECK(read->terms == written.terms);
+    CHECK(read->configuration_hash == written.configuration_hash);
     CHECK(read->digest == written.digest);
     CHECK(read->facts == written.facts);
     CHECK(read->asks == written.asks);
