--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -85,10 +85,10 @@
 
 int check(const std::string& file) {
     try {
-        auto read = operate::read(text_of(file));
-        for (auto& fault : read.faults) fmt::print("{}: {}: {}\n", file, fault.where, fault.what);
-        if (!read.faults.empty()) return 1;
-        auto& plan = read.plan;
+        auto read = operate::parse(text_of(file));
+        for (auto& fault : read.errors) fmt::print("{}: {}: {}\n", file, fault.where, fault.what);
+        if (!read.errors.empty()) return 1;
+        auto& plan = read.config;
         fmt::print(
             "{}: good; {} control services, {}, {}\n", file, plan.control ? plan.control->services.size() : 0,
             plan.store ? "versions kept in " + plan.store->path : "no store",
@@ -101,12 +101,12 @@
     }
 }
 
-operate::Plan plan_of(const std::string& file) {
-    auto read = operate::read(text_of(file));
-    if (read.faults.empty()) return std::move(read.plan);
+operate::OperatorConfig plan_of(const std::string& file) {
+    auto read = operate::parse(text_of(file));
+    if (read.errors.empty()) return std::move(read.config);
     std::string all = file + ": ";
-    for (auto& fault : read.faults)
-        all += (&fault == &read.faults[0] ? "" : "; ") + fault.where + ": " + fault.what;
+    for (auto& fault : read.errors)
+        all += (&fault == &read.errors[0] ? "" : "; ") + fault.where + ": " + fault.what;
     throw site::Unusable(all);
 }
 
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -31,6 +31,6 @@
 int check(const std::string& file);     // prints to standard output; the exit code
 
 // Throws site::Unusable that names the file and all faults.
-operate::Plan plan_of(const std::string& file);
+operate::OperatorConfig plan_of(const std::string& file);
 
 }  // namespace quillgrade::cli
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -38,8 +38,8 @@
         quillgrade::startup::reached(Stage::ConfigurationRead);
         quillgrade::log::info("starting: version {}, process {}, configuration read", QUILLGRADE_VERSION,
                               getpid());
-        auto plan =
-            command.file.empty() ? quillgrade::operate::Plan{} : quillgrade::cli::plan_of(command.file);
+        auto plan = command.file.empty() ? quillgrade::operate::OperatorConfig{}
+                                         : quillgrade::cli::plan_of(command.file);
         auto again = [&] { return quillgrade::cli::plan_of(command.file); };
         quillgrade::node::Node node(launch, plan, command.file.empty() ? nullptr : std::function(again));
         node.told_before(leave, read_again);
--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -22,20 +22,21 @@
 
 }  // namespace
 
-Book::Book(const SiteFacts& facts, const std::vector<std::string>& zones, operate::Membership membership)
+MergedEndpoints::MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
+                                 operate::Membership membership)
     : zone(facts.zone),
       parent_kind(facts.parent_kind),
       origin_kind(facts.origin_kind),
       zones(zones),
       membership(membership) {}
 
-// Boxes of other locations are never asked, so the router is not told of them.
-bool Book::ours(const feed::Endpoint& endpoint) const {
+// Endpoints of other locations are never asked, so the router is not told of them.
+bool MergedEndpoints::ours(const feed::Endpoint& endpoint) const {
     return endpoint.entry.zone == zone || endpoint.entry.kind == parent_kind ||
            endpoint.entry.kind == origin_kind;
 }
 
-const feed::Endpoint* Book::in_stream(CacheId id) const {
+const feed::Endpoint* MergedEndpoints::in_stream(CacheId id) const {
     if (!boxes) return nullptr;
     auto at = std::lower_bound(boxes->begin(), boxes->end(), id,
                                [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
@@ -43,7 +44,7 @@
 }
 
 // What the router is to be told of one id; empty: it is no member.
-std::optional<feed::Endpoint> Book::member(CacheId id, const feed::Endpoint* streamed) const {
+std::optional<feed::Endpoint> MergedEndpoints::member(CacheId id, const feed::Endpoint* streamed) const {
     auto platform = listed.find(id);
     bool has = platform != listed.end();
     bool only_streamed = boxes && membership == operate::Membership::Streamed;
@@ -61,8 +62,8 @@
     return made;
 }
 
-void Book::compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
-                   feed::Listing& leaving) {
+void MergedEndpoints::compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
+                              feed::Listing& leaving) {
     auto now = member(id, streamed);
     if (now && !ours(*now)) now.reset();
     auto known = told.find(id);
@@ -77,14 +78,14 @@
     }
 }
 
-feed::Listing Book::joined(feed::Listing changes, feed::Listing leaving) {
+feed::Listing MergedEndpoints::joined(feed::Listing changes, feed::Listing leaving) {
     auto by_id = [](auto& a, auto& b) { return a.entry.id < b.entry.id; };
     std::sort(changes.caches.begin(), changes.caches.end(), by_id);
     changes.caches.insert(changes.caches.end(), leaving.caches.begin(), leaving.caches.end());
     return changes;
 }
 
-feed::Listing Book::platform(const feed::Listing& news, Micros now) {
+feed::Listing MergedEndpoints::update_from_coordinator(const feed::Listing& news, Micros now) {
     std::set<CacheId> touched;
     if (news.complete) {  // whoever is missing from it has gone
         for (auto& [id, endpoint] : listed) {
@@ -110,9 +111,9 @@
     return joined(std::move(changes), std::move(leaving));
 }
 
-feed::Listing Book::streamed(std::shared_ptr<const Boxes> next, Micros now) {
+feed::Listing MergedEndpoints::update_from_stream(std::shared_ptr<const Endpoints> next, Micros now) {
     auto before = std::exchange(boxes, std::move(next));
-    static const Boxes none;
+    static const Endpoints none;
     auto &old = before ? *before : none, &fresh = boxes ? *boxes : none;
     // The kind of membership begins and ends with a version in force, and then touches every box.
     bool all = membership == operate::Membership::Streamed && !before != !boxes;
@@ -141,20 +142,20 @@
     return joined(std::move(changes), std::move(leaving));
 }
 
-Starts Book::starts_since(Micros now, Micros span) const {
-    Starts late;
+StartTimes MergedEndpoints::start_times_since(Micros now, Micros span) const {
+    StartTimes late;
     for (auto& [id, at] : started)
         if (now - at < span) late.emplace_back(id, at);
     return late;
 }
 
-void Book::remember(const Starts& starts) {
+void MergedEndpoints::restore_start_times(const StartTimes& starts) {
     for (auto& [id, at] : starts) started[id] = at;
 }
 
 // Guards against memory that grows as caches come and go under ever new ids. What a version in force still
 // names is never forgotten: it would come back as ready.
-void Book::forget_old(Micros now) {
+void MergedEndpoints::forget_old(Micros now) {
     if (gone.size() <= many_gone) return;
     std::erase_if(gone, [&](auto& one) { return now - one.second > remembered && !in_stream(one.first); });
     while (gone.size() > 2 * many_gone) {
@@ -167,12 +168,13 @@
     }
 }
 
-int Book::role(const feed::Endpoint& endpoint) const {
+int MergedEndpoints::role(const feed::Endpoint& endpoint) const {
     if (endpoint.entry.kind == origin_kind) return -2;
     return endpoint.entry.kind == parent_kind ? -1 : endpoint.entry.zone;
 }
 
-std::optional<std::string> Book::would_empty(const Boxes& next, const std::vector<int>& emptied) const {
+std::optional<std::string> MergedEndpoints::describe_unserved(const Endpoints& next,
+                                                              const std::vector<int>& emptied) const {
     bool streamed_only = membership == operate::Membership::Streamed;
     std::map<int, int> before, after;  // ready servers: by zone, of parents (-1), of the origin (-2)
     auto count = [&](std::map<int, int>& into, const feed::Endpoint& box) {
@@ -181,7 +183,7 @@
         if (platform != listed.end() && platform->second.entry.listed != Listed::Ready) ready = false;
         if (ready) into[role(box)]++;
     };
-    auto named = [](const Boxes& list, CacheId id) {
+    auto named = [](const Endpoints& list, CacheId id) {
         auto at = std::lower_bound(list.begin(), list.end(), id,
                                    [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
         return at != list.end() && at->entry.id == id;
--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -28,28 +28,30 @@
 
 namespace quillgrade::members {
 
-using Boxes = std::vector<feed::Endpoint>;               // by rising id, ids once each
-using Starts = std::vector<std::pair<CacheId, Micros>>;  // when boxes that state no start came into force
+using Endpoints = std::vector<feed::Endpoint>;               // by rising id, ids once each
+using StartTimes = std::vector<std::pair<CacheId, Micros>>;  // when boxes that state no start came into force
 
-class Book {
+class MergedEndpoints {
 public:
-    Book(const SiteFacts& facts, const std::vector<std::string>& zones, operate::Membership membership);
+    MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
+                    operate::Membership membership);
 
     // What changes for the router: new and changed boxes first, then those that have gone (make before
     // break).
-    feed::Listing platform(const feed::Listing& news, Micros now);
+    feed::Listing update_from_coordinator(const feed::Listing& news, Micros now);
     // `next` outlives the book or the next call; null: no version is in force.
-    feed::Listing streamed(std::shared_ptr<const Boxes> next, Micros now);
+    feed::Listing update_from_stream(std::shared_ptr<const Endpoints> next, Micros now);
 
-    // Starts that still matter: those of less than `span` before now, for a restart of the router.
-    Starts starts_since(Micros now, Micros span) const;
-    void remember(const Starts& starts);  // before the first version
+    // StartTimes that still matter: those of less than `span` before now, for a restart of the router.
+    StartTimes start_times_since(Micros now, Micros span) const;
+    void restore_start_times(const StartTimes& starts);  // before the first version
 
     // Which locations or roles would be left without a server that is ready, in words; empty: none. Zones in
     // `emptied` are meant to be.
-    std::optional<std::string> would_empty(const Boxes& next, const std::vector<int>& emptied) const;
+    std::optional<std::string> describe_unserved(const Endpoints& next,
+                                                 const std::vector<int>& emptied) const;
 
-    std::size_t told_count() const { return told.size(); }
+    std::size_t announced_count() const { return told.size(); }
     std::size_t gone_count() const { return gone.size(); }
 
 private:
@@ -66,7 +68,7 @@
     operate::Membership membership;
     std::unordered_map<CacheId, feed::Endpoint> listed;  // by the coordinator, ready or draining
     std::unordered_map<CacheId, Micros> gone;            // told so by the coordinator, and when
-    std::shared_ptr<const Boxes> boxes;
+    std::shared_ptr<const Endpoints> boxes;
     std::unordered_map<CacheId, Micros> started;       // of streamed boxes that state none
     std::unordered_map<CacheId, feed::Endpoint> told;  // what the router was told last
 };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -44,7 +44,8 @@
 
 }  // namespace
 
-Node::Node(const launch::Launch& launch, operate::Plan told, std::function<operate::Plan()> plan_again)
+Node::Node(const launch::Launch& launch, operate::OperatorConfig told,
+           std::function<operate::OperatorConfig()> plan_again)
     : launch(launch),
       plan(std::move(told)),
       plan_again(std::move(plan_again)),
@@ -243,7 +244,7 @@
 void Node::read_plan_again() {
     try {
         auto told = plan_again();
-        auto rest = [](operate::Plan of) {
+        auto rest = [](operate::OperatorConfig of) {
             if (of.control) of.control->services.clear();
             of.rules.reset();
             return of;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -28,8 +28,8 @@
 public:
     // `told`: the operators' file; what it does not name does not exist. `plan_again` reads it anew on SIGHUP
     // and may throw; null: there is no such file.
-    explicit Node(const launch::Launch& launch, operate::Plan told = {},
-                  std::function<operate::Plan()> plan_again = nullptr);
+    explicit Node(const launch::Launch& launch, operate::OperatorConfig told = {},
+                  std::function<operate::OperatorConfig()> plan_again = nullptr);
     void told_before(bool leave, bool read);  // what signals have told before there was a node
     void run();                               // until Over
 
@@ -53,8 +53,8 @@
     void read_again();
 
     const launch::Launch& launch;
-    operate::Plan plan;
-    std::function<operate::Plan()> plan_again;
+    operate::OperatorConfig plan;
+    std::function<operate::OperatorConfig()> plan_again;
     site::Terms terms;  // as narrowed by what is in force
     Owned<event_base> base;
     Clock clock;
--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -34,7 +34,7 @@
     return out;
 }
 
-peers::Start start_of(const launch::Neighbourhood& all, const operate::Neighbours& plan, std::uint64_t seed,
+peers::Start start_of(const launch::Neighbourhood& all, const operate::PeersConfig& plan, std::uint64_t seed,
                       Micros now) {
     peers::Start start;
     start.self = all.self;
@@ -43,18 +43,18 @@
     start.life = static_cast<peers::Life>(now / 1000);
     start.seed = seed;
     start.now = now;
-    start.rates.period = plan.period;
+    start.rates.period = plan.probe_interval;
     start.rates.bytes_per_s = plan.bytes_per_s;
-    start.rates.shortest = plan.shortest;
-    start.rates.longest = plan.longest;
-    start.rates.gap = plan.gap;
+    start.rates.shortest = plan.min_suspicion;
+    start.rates.longest = plan.max_suspicion;
+    start.rates.gap = plan.pause_threshold;
     start.rates.state_transfer = plan.state_transfer;
     return start;
 }
 
 }  // namespace
 
-PeerPort::PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::Neighbours& plan,
+PeerPort::PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::PeersConfig& plan,
                    std::uint64_t seed, Micros now)
     : addresses(all.all), view(start_of(all, plan, seed, now)), wake(base, [] {}) {
     for (std::size_t i = 0; i < addresses.size(); i++)
@@ -101,8 +101,8 @@
     came.clear();
 }
 
-void PeerPort::pass(const version::Counts& counts, Micros now) {
-    view.ill(request_health.told(counts.ended, counts.bad, now));
+void PeerPort::pass(const version::LookupCounts& counts, Micros now) {
+    view.ill(request_health.told(counts.completed, counts.unsuccessful, now));
     if (now >= view.due()) view.pass(now);
     send_and_say(now);
     wake.set(view.due() - now);
--- a/src/node/peer_port.hpp
+++ b/src/node/peer_port.hpp
@@ -19,7 +19,7 @@
 class PeerPort {
 public:
     // Binds `peer_listen`; throws site::Unusable where that can't be done.
-    PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::Neighbours& plan,
+    PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::PeersConfig& plan,
              std::uint64_t seed, Micros now);
     ~PeerPort();
     PeerPort(const PeerPort&) = delete;
@@ -28,7 +28,7 @@
     // Once a pass of the loop, before the turn: what came is heard. After it: what is due is done, and what
     // has changed is logged.
     void hear(Micros now);
-    void pass(const version::Counts& counts, Micros now);
+    void pass(const version::LookupCounts& counts, Micros now);
     void leave(Micros now);  // SIGTERM has come
     void gone(Micros now);   // the last call
     peers::Membership& membership() { return view; }
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -10,12 +10,12 @@
 
 constexpr Micros say_every = 10'000'000;
 
-shared::Terms terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
+shared::Terms terms_of(const operate::SharedStateConfig& plan, const launch::Launch& launch, Clock& clock) {
     shared::Terms terms;
-    terms.parts = {plan.facts, plan.quotas, plan.judgements, plan.counts};
+    terms.parts = {plan.facts, plan.quotas, plan.health_reports, plan.counts};
     terms.site = static_cast<const Bounds&>(launch.facts);
-    terms.owners = plan.owners;
-    terms.lease = plan.lease;
+    terms.owners = plan.lease_grantors;
+    terms.lease = plan.lease_duration;
     terms.now = {clock.now(), Clock::steady()};
     // New with each start, so that no answer to an earlier life's ask is taken for one to this one's.
     terms.seed = static_cast<std::uint32_t>(launch.seed ^ (launch.seed >> 32)) ^
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-Sharing::Sharing(PeerPort& peers, const operate::Sharing& plan, const launch::Launch& launch, Clock& clock,
-                 Turn& turn)
+Sharing::Sharing(PeerPort& peers, const operate::SharedStateConfig& plan, const launch::Launch& launch,
+                 Clock& clock, Turn& turn)
     : turn(turn), exchange(peers.membership(), terms_of(plan, launch, clock)) {
     turn.share(&exchange);
     std::string parts;
     for (auto& [on, name] : {std::pair(plan.facts, "facts"), std::pair(plan.quotas, "rights"),
-                             std::pair(plan.judgements, "judgements"), std::pair(plan.counts, "counts")})
+                             std::pair(plan.health_reports, "judgements"), std::pair(plan.counts, "counts")})
         if (on) parts += std::string(parts.empty() ? "" : ", ") + name;
     log::info("shared: {}", parts.empty() ? "nothing" : parts);
     if (plan.quotas && !launch.facts.ratings_are_links)
--- a/src/node/sharing.hpp
+++ b/src/node/sharing.hpp
@@ -14,8 +14,8 @@
 class Sharing {
 public:
     // `peers` and `turn` outlive this; the turn shares with it from now on.
-    Sharing(PeerPort& peers, const operate::Sharing& plan, const launch::Launch& launch, Clock& clock,
-            Turn& turn);
+    Sharing(PeerPort& peers, const operate::SharedStateConfig& plan, const launch::Launch& launch,
+            Clock& clock, Turn& turn);
     ~Sharing();
     Sharing(const Sharing&) = delete;
     Sharing& operator=(const Sharing&) = delete;
--- a/src/node/steering.cpp
+++ b/src/node/steering.cpp
@@ -12,21 +12,21 @@
 constexpr Micros second = 1'000'000, store_again_after = 30 * second;
 constexpr std::size_t most_version = 8U << 20, least_version = 256U << 10;
 
-std::size_t longest_version(const operate::Control& control, const launch::Room& room) {
-    if (control.longest_version) return control.longest_version;
+std::size_t longest_version(const operate::ControlConfig& control, const launch::Room& room) {
+    if (control.max_version_bytes) return control.max_version_bytes;
     return std::clamp(room.unsent / 4, least_version, most_version);  // room.unsent is a quarter of the limit
 }
 
-version::Allowed allowed(const operate::Plan& plan, const launch::Launch& launch) {
-    auto made = version::allowed_by(launch.facts, launch.terms);
+version::ConfiguredLimits allowed(const operate::OperatorConfig& plan, const launch::Launch& launch) {
+    auto made = version::configured_limits(launch.facts, launch.terms);
     if (plan.rules) made.rule_budget = plan.rules->budget;
     return made;
 }
 
 }  // namespace
 
-Steering::Steering(event_base* base, const operate::Plan& plan, const launch::Launch& launch, Clock& clock,
-                   site::Terms& terms)
+Steering::Steering(event_base* base, const operate::OperatorConfig& plan, const launch::Launch& launch,
+                   Clock& clock, site::Terms& terms)
     : control(*plan.control),
       launch(launch),
       terms(terms),
@@ -36,29 +36,30 @@
              {launch.name, control.cluster, launch.terms.zones[static_cast<std::size_t>(launch.facts.zone)]},
              longest_version(control, launch.room)},
       book(launch.facts, launch.terms.zones, control.membership),
-      ledger(allowed(plan, launch), control.kinds, {control.trial, control.trial_for, control.trial_rise}),
+      ledger(allowed(plan, launch), control.kinds,
+             {control.canary, control.canary_duration, control.canary_min_increase}),
       store(plan.store),
       wake(base, [] {}) {
     if (store) {
-        auto opened = vault::Vault::open(*store);
-        if (!opened.said.empty()) log::warning("{}", opened.said);
-        vault = std::move(opened.vault);
-        if (opened.kept) start_from(*opened.kept);
+        auto opened = vault::SnapshotStore::open(*store);
+        if (!opened.problem.empty()) log::warning("{}", opened.problem);
+        vault = std::move(opened.store);
+        if (opened.snapshot) start_from(*opened.snapshot);
     }
     move_to(control.services);
 }
 
 // What was in force when it was written last, or else what had stood its trial before.
-void Steering::start_from(const vault::Kept& kept) {
+void Steering::start_from(const vault::Snapshot& kept) {
     auto age = (shared.clock.now() - kept.saved_at) / second;
-    auto why = ledger.start_from(kept.current);
+    auto why = ledger.restore(kept.current);
     if (why) {
         log::warning("stored version not used, the settings no longer allow it: {}", *why);
-        why = ledger.start_from(kept.settled);
+        why = ledger.restore(kept.settled);
         if (why) return log::warning("nor the one before: {}", *why);
     }
-    book.remember(kept.starts);
-    log::info("starting from the store: {}, written {} s ago", version::text_of(ledger.in_force()), age);
+    book.restore_start_times(kept.start_times);
+    log::info("starting from the store: {}, written {} s ago", version::describe(ledger.active()), age);
 }
 
 void Steering::move_to(const std::vector<feed::Address>& services) {
@@ -77,13 +78,13 @@
     wake.stop();
 }
 
-void Steering::pass(Gathered& batch, const version::Counts& counts, Micros now) {
+void Steering::pass(Gathered& batch, const version::LookupCounts& counts, Micros now) {
     for (auto& value : batch) {
         auto* event = std::get_if<feed::Event>(&value);
         auto* listing = event ? std::get_if<feed::Listing>(&event->what) : nullptr;
-        if (listing) *listing = book.platform(*listing, now);
+        if (listing) *listing = book.update_from_coordinator(*listing, now);
     }
-    if (!std::exchange(started, true)) take_in(ledger.in_force(), batch, now);
+    if (!std::exchange(started, true)) take_in(ledger.active(), batch, now);
     if (contact) {
         for (int place = 0; place < static_cast<int>(control.services.size()); place++) hear(place, now);
         auto step = contact->next(now);
@@ -93,7 +94,7 @@
                       text_of(control.services[static_cast<std::size_t>(place)]));
         }
         for (int place : step.open) open(place, false);
-        wake.set(std::min(step.look_in, version::Trial::observe_every));
+        wake.set(std::min(step.look_in, version::Canary::observation_interval));
     }
     ledger.observe(counts, now);
     work(batch, counts, now);
@@ -134,7 +135,7 @@
             return open(place, true);
         }
         bool afresh = !std::exchange(connection.begun[kind], true) && claim == connection.claimed.end();
-        ledger.offered(service.id, std::move(offer), afresh, now);
+        ledger.receive(service.id, std::move(offer), afresh, now);
     }
     if (service.lost().empty() && contact->overdue(place, now)) service.let_go("no answer");
     if (service.lost().empty()) return;
@@ -145,23 +146,24 @@
     connections.erase(found);
 }
 
-void Steering::work(Gathered& batch, const version::Counts& counts, Micros now) {
+void Steering::work(Gathered& batch, const version::LookupCounts& counts, Micros now) {
     auto proposal = ledger.step(now);
     if (!proposal) return;
-    auto& boxes = version::of(proposal->next, discovery::Kind::Boxes);
-    static const members::Boxes none;
-    auto refusal = book.would_empty(boxes ? boxes->boxes : none, boxes ? boxes->emptied : std::vector<int>{});
+    auto& boxes = version::version_of(proposal->next, discovery::Kind::Boxes);
+    static const members::Endpoints none;
+    auto refusal = book.describe_unserved(boxes ? boxes->endpoints : none,
+                                          boxes ? boxes->emptied_zones : std::vector<int>{});
     if (!refusal) refusal = keep(*proposal, now);
-    if (refusal) return ledger.refused(*refusal, now);
+    if (refusal) return ledger.rejected(*refusal, now);
     take_in(proposal->next, batch, now);
-    ledger.entered(counts, now);
+    ledger.applied(counts, now);
 }
 
 // Kept before it is acknowledged. Guards against a start from what is older than the last one acknowledged:
 // where it can't be kept, the store is emptied, and where even that can't be done the version is refused.
 std::optional<std::string> Steering::keep(const version::Proposal& proposal, Micros now) {
     if (!vault || (store_again > 0 && now < store_again)) return {};
-    auto starts = book.starts_since(now, std::max(launch.facts.cold, launch.facts.parent_cold));
+    auto starts = book.start_times_since(now, std::max(launch.facts.cold, launch.facts.parent_cold));
     auto failed = vault->write(proposal.next, proposal.settled, starts, now);
     if (!failed) {
         if (std::exchange(store_again, 0) > 0) log::info("store: versions are kept again");
@@ -174,17 +176,17 @@
     return {};
 }
 
-void Steering::take_in(const version::Set& set, Gathered& batch, Micros now) {
-    auto& boxes = version::of(set, discovery::Kind::Boxes);
-    auto listing =
-        book.streamed(boxes ? std::shared_ptr<const members::Boxes>(boxes, &boxes->boxes) : nullptr, now);
+void Steering::take_in(const version::VersionSet& set, Gathered& batch, Micros now) {
+    auto& boxes = version::version_of(set, discovery::Kind::Boxes);
+    auto listing = book.update_from_stream(
+        boxes ? std::shared_ptr<const members::Endpoints>(boxes, &boxes->endpoints) : nullptr, now);
     if (!listing.caches.empty()) batch.emplace_back(feed::Event{0, std::move(listing)});
-    auto& amounts = version::of(set, discovery::Kind::Amounts);
+    auto& amounts = version::version_of(set, discovery::Kind::Amounts);
     auto told = amounts ? amounts->amounts : version::Amounts{};
-    terms.connect_time = told.connect_time.value_or(launch.terms.connect_time);
-    terms.idle_time = told.idle_time.value_or(launch.terms.idle_time);
+    terms.connect_time = told.connect_timeout.value_or(launch.terms.connect_time);
+    terms.idle_time = told.idle_timeout.value_or(launch.terms.idle_time);
     batch.emplace_back(told);
-    auto& rules = version::of(set, discovery::Kind::Rules);
+    auto& rules = version::version_of(set, discovery::Kind::Rules);
     auto now_running = rules ? rules->rules : nullptr;
     if (now_running != running_rules) batch.emplace_back(now_running);
     running_rules = now_running;
@@ -196,13 +198,13 @@
         for (auto& [place, connection] : connections)
             if (connection.service->id == reply.stream) to = connection.service.get();
         // The service that is asked now has sent no response that this could answer.
-        if (int place = contact ? contact->serving() : -1; !to && reply.roll_back && place >= 0) {
+        if (int place = contact ? contact->serving() : -1; !to && reply.is_rollback && place >= 0) {
             to = connections.at(place).service.get();
             reply.request.nonce.clear();
         }
         if (to) to->say(std::move(reply.request));
     }
-    for (auto& line : ledger.take_lines()) log::info("{}", line);
+    for (auto& line : ledger.take_log_lines()) log::info("{}", line);
 }
 
 }  // namespace quillgrade::node
--- a/src/node/steering.hpp
+++ b/src/node/steering.hpp
@@ -20,16 +20,16 @@
 class Steering {
 public:
     // `terms`: the times that connections go by, narrowed by what comes into force.
-    Steering(event_base* base, const operate::Plan& plan, const launch::Launch& launch, Clock& clock,
-             site::Terms& terms);
+    Steering(event_base* base, const operate::OperatorConfig& plan, const launch::Launch& launch,
+             Clock& clock, site::Terms& terms);
 
     // Once a pass, before the turn: lists in `batch` are made into lists of members, and what comes into
     // force is added to it. One slice of work.
-    void pass(Gathered& batch, const version::Counts& counts, Micros now);
-    bool busy() const { return ledger.busy(); }  // another pass is wanted at once
+    void pass(Gathered& batch, const version::LookupCounts& counts, Micros now);
+    bool busy() const { return ledger.has_work(); }  // another pass is wanted at once
     void move_to(const std::vector<feed::Address>& services);
     void stop();  // no service is asked any more
-    const version::Ledger& versions() const { return ledger; }
+    const version::VersionManager& versions() const { return ledger; }
 
 private:
     struct Connection {
@@ -37,22 +37,22 @@
         std::map<discovery::Kind, std::string> claimed;  // identities whose resources it was told are held
         std::map<discovery::Kind, bool> begun;           // kinds that it has offered already
     };
-    void start_from(const vault::Kept& kept);
+    void start_from(const vault::Snapshot& kept);
     void open(int place, bool claim_nothing);
     void hear(int place, Micros now);
-    void work(Gathered& batch, const version::Counts& counts, Micros now);
-    void take_in(const version::Set& set, Gathered& batch, Micros now);
+    void work(Gathered& batch, const version::LookupCounts& counts, Micros now);
+    void take_in(const version::VersionSet& set, Gathered& batch, Micros now);
     std::optional<std::string> keep(const version::Proposal& proposal, Micros now);
     void say();
 
-    operate::Control control;
+    operate::ControlConfig control;
     const launch::Launch& launch;
     site::Terms& terms;
     Service::Shared shared;
-    members::Book book;
-    version::Ledger ledger;
-    std::unique_ptr<vault::Vault> vault;
-    std::optional<operate::Store> store;
+    members::MergedEndpoints book;
+    version::VersionManager ledger;
+    std::unique_ptr<vault::SnapshotStore> vault;
+    std::optional<operate::StoreConfig> store;
     Micros store_again = 0;  // when a store that has failed is tried again, 0: it has not
     std::optional<discovery::Contact> contact;
     std::map<int, Connection> connections;  // by the service's place
--- a/src/node/turn.cpp
+++ b/src/node/turn.cpp
@@ -115,10 +115,10 @@
 
 // A version may narrow what the settings allow, and was checked for that.
 void Turn::tell(version::Amounts& amounts) {
-    router.transmissions_cap = amounts.transmissions.value_or(facts.transmissions_cap);
+    router.transmissions_cap = amounts.attempts.value_or(facts.transmissions_cap);
     router.second_copies = amounts.second_copies.value_or(facts.second_copies);
     router.most_retry_after =
-        facts.retry_after ? amounts.come_back.value_or(facts.most_retry_after) : Micros{0};
+        facts.retry_after ? amounts.max_retry_after.value_or(facts.most_retry_after) : Micros{0};
 }
 
 void Turn::tell(std::shared_ptr<const route::RuleSet>& rules) {
@@ -150,8 +150,8 @@
 }
 
 void Turn::count(bool bad) {
-    ends.ended++;
-    ends.bad += bad;
+    ends.completed++;
+    ends.unsuccessful += bad;
 }
 
 // What all routers together may send to servers that have just started, as far as it is this one's now.
--- a/src/node/turn.hpp
+++ b/src/node/turn.hpp
@@ -25,7 +25,7 @@
     void leave(Micros by) { leave_by = by; }  // lookups taken from now on are answered by then
     void break_off_all();                     // whatever is still held gets its final answer
     std::size_t held() const { return open.size(); }
-    const version::Counts& counts() const { return ends; }
+    const version::LookupCounts& counts() const { return ends; }
 
 private:
     // A lookup whose final answer is owed.
@@ -90,7 +90,7 @@
     std::optional<Micros> leave_by;
     std::optional<route::Live> routes;  // once there have been rules
     std::vector<thrift::Wanted> wanted;
-    version::Counts ends;
+    version::LookupCounts ends;
     shared::Exchange* exchange = nullptr;
     std::vector<CacheId> lent, spoken_of;       // servers that were given a right, or a hearsay
     std::unordered_map<CacheId, Micros> until;  // of the quotas that this turn has used
--- a/src/operate/plan.cpp
+++ b/src/operate/plan.cpp
@@ -15,7 +15,7 @@
 // One object of the file: each member is asked for by name, and what nobody asked for is a fault.
 class Members {
 public:
-    Members(const json& told, std::string path, std::vector<Fault>& faults)
+    Members(const json& told, std::string path, std::vector<ConfigError>& faults)
         : told(told), path(std::move(path)), faults(faults) {
         if (!told.is_object()) fault("", "an object in { } is expected");
     }
@@ -74,7 +74,7 @@
     }
     const json& told;
     std::string path;
-    std::vector<Fault>& faults;
+    std::vector<ConfigError>& faults;
     std::vector<std::string> asked;
 };
 
@@ -94,7 +94,7 @@
     members.fault(name, words + " is expected, not " + found->dump().substr(0, 60));
 }
 
-void read_services(Members& members, Control& control) {
+void read_services(Members& members, ControlConfig& control) {
     auto* told = members.find("services");
     if (!told || !told->is_array() || told->empty() || told->size() > most_services)
         return members.fault("services", "a list of 1 to 8 addresses such as \"10.2.0.1:18000\" is expected");
@@ -112,7 +112,7 @@
         }
 }
 
-void read_kinds(Members& members, Control& control) {
+void read_kinds(Members& members, ControlConfig& control) {
     auto* told = members.find("kinds");
     if (!told) return;
     control.kinds.clear();
@@ -134,21 +134,21 @@
         members.fault("kinds", "a name stands there twice");
 }
 
-void read_trial(Members& members, Control& control) {
+void read_trial(Members& members, ControlConfig& control) {
     auto* told = members.find("trial");
     if (!told) return;
     if (*told == false) {
-        control.trial = false;
+        control.canary = false;
         return;
     }
     auto trial = members.inner("trial", *told);
-    auto seconds = static_cast<double>(control.trial_for) / 1e6;
+    auto seconds = static_cast<double>(control.canary_duration) / 1e6;
     trial.number("for_s", seconds, 2, 600);
-    trial.number("rise", control.trial_rise, 0.01, 1);
-    control.trial_for = static_cast<Micros>(seconds * 1e6);
+    trial.number("rise", control.canary_min_increase, 0.01, 1);
+    control.canary_duration = static_cast<Micros>(seconds * 1e6);
 }
 
-void read_control(Members& members, Control& control) {
+void read_control(Members& members, ControlConfig& control) {
     read_services(members, control);
     read_kinds(members, control);
     read_trial(members, control);
@@ -159,45 +159,45 @@
     members.text("cluster", control.cluster, 200);
     double megabytes = 0;
     members.number("longest_version_mb", megabytes, 0.01, 64);
-    control.longest_version = static_cast<std::size_t>(megabytes * mb);
+    control.max_version_bytes = static_cast<std::size_t>(megabytes * mb);
 }
 
-void read_store(Members& members, Store& store) {
+void read_store(Members& members, StoreConfig& store) {
     members.text("path", store.path, longest_path);
     if (store.path.empty()) members.fault("path", "the folder of the store is to be named");
-    auto megabytes = static_cast<double>(store.bytes) / mb;
+    auto megabytes = static_cast<double>(store.max_bytes) / mb;
     members.number("megabytes", megabytes, 1, 4096);
-    store.bytes = static_cast<std::size_t>(megabytes * mb) / 4096 * 4096;
+    store.max_bytes = static_cast<std::size_t>(megabytes * mb) / 4096 * 4096;
     members.yes_or_no("sync", store.sync);
 }
 
-void read_rules(Members& members, RuleFile& rules) {
+void read_rules(Members& members, RulesConfig& rules) {
     members.text("file", rules.file, longest_path);
     auto budget = static_cast<double>(rules.budget);
     members.number("budget", budget, 100, 1e9);
     rules.budget = static_cast<std::uint64_t>(budget);
 }
 
-void read_peers(Members& members, Neighbours& peers) {
+void read_peers(Members& members, PeersConfig& peers) {
     auto time = [&](const char* name, Micros& into, double least, double most) {
         auto ms = static_cast<double>(into) / 1000;
         members.number(name, ms, least, most);
         into = static_cast<Micros>(ms * 1000);
     };
-    time("period_ms", peers.period, 100, 10'000);
+    time("period_ms", peers.probe_interval, 100, 10'000);
     members.number("bytes_per_s", peers.bytes_per_s, 100, 100'000);
-    time("shortest_ms", peers.shortest, 200, 60'000);
-    time("longest_ms", peers.longest, 200, 600'000);
-    time("gap_ms", peers.gap, 50, 10'000);
+    time("shortest_ms", peers.min_suspicion, 200, 60'000);
+    time("longest_ms", peers.max_suspicion, 200, 600'000);
+    time("gap_ms", peers.pause_threshold, 50, 10'000);
     members.yes_or_no("state_transfer", peers.state_transfer);
-    if (peers.longest < peers.shortest) members.fault("longest_ms", "it is under shortest_ms");
-    if (peers.gap * 2 > peers.period * 3)
+    if (peers.max_suspicion < peers.min_suspicion) members.fault("longest_ms", "it is under shortest_ms");
+    if (peers.pause_threshold * 2 > peers.probe_interval * 3)
         members.fault("gap_ms", "it is over one and a half periods: pauses would pass for others' silence");
 }
 
-void read_shared(Members& members, Sharing& shared) {
+void read_shared(Members& members, SharedStateConfig& shared) {
     members.yes_or_no("facts", shared.facts);
-    members.yes_or_no("judgements", shared.judgements);
+    members.yes_or_no("judgements", shared.health_reports);
     members.yes_or_no("counts", shared.counts);
     auto* told = members.find("rights");
     if (!told) return;
@@ -206,12 +206,12 @@
         return;
     }
     auto quotas = members.inner("rights", *told);
-    double owners = shared.owners, lease = static_cast<double>(shared.lease) / 1000;
+    double owners = shared.lease_grantors, lease = static_cast<double>(shared.lease_duration) / 1000;
     quotas.number("owners", owners, 1, 64);
     if (owners != static_cast<int>(owners)) quotas.fault("owners", "a whole number is expected");
     quotas.number("loan_ms", lease, 200, 10'000);
-    shared.owners = static_cast<int>(owners);
-    shared.lease = static_cast<Micros>(lease * 1000);
+    shared.lease_grantors = static_cast<int>(owners);
+    shared.lease_duration = static_cast<Micros>(lease * 1000);
 }
 
 std::string line_of(std::string_view text, std::size_t byte) {
@@ -223,7 +223,7 @@
 }
 
 // Guards against a member that stands twice, of which the library would keep the last without a word.
-json parse(std::string_view text, std::vector<Fault>& faults) {
+json parse_json(std::string_view text, std::vector<ConfigError>& faults) {
     std::vector<std::vector<std::string>> open;
     auto watch = [&](int, json::parse_event_t event, json& value) {
         if (event == json::parse_event_t::object_start) open.emplace_back();
@@ -241,38 +241,38 @@
 
 }  // namespace
 
-Read read(std::string_view text) {
-    Read read;
+ParseResult parse(std::string_view text) {
+    ParseResult read;
     json told;
     try {
-        told = parse(text, read.faults);
+        told = parse_json(text, read.errors);
     } catch (const json::parse_error& error) {
         std::string what = error.what();
         auto said = what.find("syntax error");  // the library says the place again before it
-        read.faults.push_back({line_of(text, error.byte), what.substr(said == std::string::npos ? 0 : said)});
+        read.errors.push_back({line_of(text, error.byte), what.substr(said == std::string::npos ? 0 : said)});
         return read;
     }
-    Members members(told, "", read.faults);
+    Members members(told, "", read.errors);
     if (auto* control = members.find("control")) {
         auto inner = members.inner("control", *control);
-        read_control(inner, read.plan.control.emplace());
+        read_control(inner, read.config.control.emplace());
     }
     if (auto* store = members.find("store")) {
         auto inner = members.inner("store", *store);
-        read_store(inner, read.plan.store.emplace());
+        read_store(inner, read.config.store.emplace());
     }
     if (auto* rules = members.find("rules")) {
         auto inner = members.inner("rules", *rules);
-        read_rules(inner, read.plan.rules.emplace());
+        read_rules(inner, read.config.rules.emplace());
     }
     if (auto* peers = members.find("peers")) {
         auto inner = members.inner("peers", *peers);
-        read_peers(inner, read.plan.peers.emplace());
+        read_peers(inner, read.config.peers.emplace());
     }
     if (auto* shared = members.find("shared")) {
         auto inner = members.inner("shared", *shared);
-        read_shared(inner, read.plan.shared.emplace());
-        if (!read.plan.peers) members.fault("shared", "it needs 'peers', over which the routers talk");
+        read_shared(inner, read.config.shared.emplace());
+        if (!read.config.peers) members.fault("shared", "it needs 'peers', over which the routers talk");
     }
     return read;
 }
--- a/src/vault/vault.cpp
+++ b/src/vault/vault.cpp
@@ -78,11 +78,11 @@
     MDB_dbi table = 0;
 };
 
-Env open_env(const operate::Store& store, unsigned flags) {
+Env open_env(const operate::StoreConfig& store, unsigned flags) {
     MDB_env* made = nullptr;
     must(mdb_env_create(&made), "create");
     Env env(made);
-    must(mdb_env_set_mapsize(env.get(), store.bytes), "size");
+    must(mdb_env_set_mapsize(env.get(), store.max_bytes), "size");
     must(mdb_env_open(env.get(), store.path.c_str(), flags | MDB_NOTLS, 0600), "open");
     return env;
 }
@@ -125,7 +125,7 @@
 
 // The child tells 'E' and what is wrong, or 'K' and both records, or nothing at all where it was brought
 // down.
-void tell_records(int to, const operate::Store& store) {
+void tell_records(int to, const operate::StoreConfig& store) {
     std::string out;
     try {
         auto env = open_env(store, MDB_NOSYNC);
@@ -139,14 +139,14 @@
             out += record;
         }
         // Writing reads what a later write would: the list of free pages may be the damaged part.
-        if (2 * size < store.bytes / 2) trying.put("trial", std::string(size, ' '));
+        if (2 * size < store.max_bytes / 2) trying.put("trial", std::string(size, ' '));
     } catch (const Failed& failed) {
         out = "E" + failed.why;
     }
     write_all(to, out);
 }
 
-std::string read_in_child(const operate::Store& store) {
+std::string read_in_child(const operate::StoreConfig& store) {
     std::array<int, 2> ends;
     if (pipe2(ends.data(), O_CLOEXEC) != 0) return "Eno pipe";
     pid_t child = fork();
@@ -173,7 +173,7 @@
     return told;
 }
 
-std::string set_aside(const operate::Store& store, Micros now) {
+std::string set_aside(const operate::StoreConfig& store, Micros now) {
     auto to = store.path + "/torn-" + std::to_string(now);
     auto from = store.path + "/data.mdb";
     if (::rename(from.c_str(), to.c_str()) != 0 && errno != ENOENT)
@@ -182,7 +182,7 @@
     return ", set aside as " + to;
 }
 
-std::vector<const version::Bundle*> bundles_of(const version::Set& set) {
+std::vector<const version::Bundle*> bundles_of(const version::VersionSet& set) {
     std::vector<const version::Bundle*> all;
     for (auto& one : set)
         if (one) all.push_back(&one->bundle);
@@ -196,7 +196,7 @@
 }  // namespace
 
 std::string encode(const std::vector<const version::Bundle*>& bundles, Micros saved_at,
-                   const members::Starts& starts) {
+                   const members::StartTimes& starts) {
     wire::KeptSet set;
     set.set_saved_at_us(saved_at);
     for (auto& [id, at] : starts) {
@@ -227,7 +227,7 @@
     return record + body;
 }
 
-std::vector<version::Bundle> decode(std::string_view record, Micros& saved_at, members::Starts& starts) {
+std::vector<version::Bundle> decode(std::string_view record, Micros& saved_at, members::StartTimes& starts) {
     bytes::Cursor in(record);
     if (in.number(4) != magic) throw bytes::Malformed("no record of this program");
     auto told = in.number(4);
@@ -265,16 +265,16 @@
     return bundles;
 }
 
-struct Vault::Inner {
-    operate::Store store;
+struct SnapshotStore::Inner {
+    operate::StoreConfig store;
     Env env;
-    std::optional<version::Set> settled;  // as it stands there, written anew only when it changes
+    std::optional<version::VersionSet> settled;  // as it stands there, written anew only when it changes
 };
 
-Vault::Vault(std::unique_ptr<Inner> made) : inner(std::move(made)) {}
-Vault::~Vault() = default;
+SnapshotStore::SnapshotStore(std::unique_ptr<Inner> made) : inner(std::move(made)) {}
+SnapshotStore::~SnapshotStore() = default;
 
-Vault::Opened Vault::open(const operate::Store& store) {
+SnapshotStore::Opened SnapshotStore::open(const operate::StoreConfig& store) {
     Opened opened;
     timespec clock{};
     clock_gettime(CLOCK_REALTIME, &clock);
@@ -282,8 +282,8 @@
     std::error_code error;
     std::filesystem::create_directories(store.path, error);
     if (error || access(store.path.c_str(), W_OK) != 0) {
-        opened.said = "store: " + store.path + " can't be written (" +
-                      (error ? error.message() : std::strerror(errno)) + "), so no version is kept";
+        opened.problem = "store: " + store.path + " can't be written (" +
+                         (error ? error.message() : std::strerror(errno)) + "), so no version is kept";
         return opened;
     }
     try {
@@ -295,35 +295,37 @@
             if (told.starts_with('K')) try {
                     bytes::Cursor in(std::string_view(told).substr(1));
                     auto current = in.piece(in.number(8)), settled = in.piece(in.number(8));
-                    Kept kept;
+                    Snapshot kept;
                     Micros ignored = 0;
-                    members::Starts none;
-                    if (!current.empty()) kept.current = decode(current, kept.saved_at, kept.starts);
+                    members::StartTimes none;
+                    if (!current.empty()) kept.current = decode(current, kept.saved_at, kept.start_times);
                     if (!settled.empty()) kept.settled = decode(settled, ignored, none);
-                    if (!current.empty()) opened.kept = std::move(kept);
+                    if (!current.empty()) opened.snapshot = std::move(kept);
                 } catch (const NewerFormat& newer) {
-                    opened.said =
+                    opened.problem =
                         std::string("store: ") + newer.what() + "; it is left alone, and no version is kept";
                     return opened;
                 } catch (const bytes::Malformed& bad) {
                     torn = bad.what();
                 }
-            if (!torn.empty()) opened.said = "store: torn (" + torn + ")" + set_aside(store, now);
+            if (!torn.empty()) opened.problem = "store: torn (" + torn + ")" + set_aside(store, now);
         }
         auto inner = std::make_unique<Inner>();
         inner->store = store;
         inner->env = open_env(store, store.sync ? 0 : MDB_NOSYNC);
         Transaction probe(inner->env.get(), 0);  // a read-only file shows here
-        opened.vault.reset(new Vault(std::move(inner)));
+        opened.store.reset(new SnapshotStore(std::move(inner)));
     } catch (const Failed& failed) {
-        opened.said += (opened.said.empty() ? "store: " : "; ") + failed.why + ", so no version is kept";
-        opened.kept.reset();
+        opened.problem +=
+            (opened.problem.empty() ? "store: " : "; ") + failed.why + ", so no version is kept";
+        opened.snapshot.reset();
     }
     return opened;
 }
 
-std::optional<std::string> Vault::write(const version::Set& current, const version::Set& settled,
-                                        const members::Starts& starts, Micros now) {
+std::optional<std::string> SnapshotStore::write(const version::VersionSet& current,
+                                                const version::VersionSet& settled,
+                                                const members::StartTimes& starts, Micros now) {
     try {
         if (!inner->env) inner->env = open_env(inner->store, inner->store.sync ? 0 : MDB_NOSYNC);
         Transaction writing(inner->env.get(), 0);
@@ -338,7 +340,7 @@
     }
 }
 
-bool Vault::clear() {
+bool SnapshotStore::clear() {
     inner->env.reset();
     inner->settled.reset();
     auto data = inner->store.path + "/data.mdb";
--- a/src/vault/vault.hpp
+++ b/src/vault/vault.hpp
@@ -18,40 +18,40 @@
 
 namespace quillgrade::vault {
 
-struct Kept {
+struct Snapshot {
     std::vector<version::Bundle> current, settled;
-    members::Starts starts;  // of boxes in `current`
-    Micros saved_at = 0;     // Unix microseconds, when `current` was written
+    members::StartTimes start_times;  // of boxes in `current`
+    Micros saved_at = 0;              // Unix microseconds, when `current` was written
 };
 
-class Vault {
+class SnapshotStore {
 public:
     struct Opened {
-        std::unique_ptr<Vault> vault;  // null: there is no store to write to
-        std::optional<Kept> kept;      // empty: nothing to start from
-        std::string said;              // what is wrong, for the operator; empty: nothing
+        std::unique_ptr<SnapshotStore> store;  // null: there is no store to write to
+        std::optional<Snapshot> snapshot;      // empty: nothing to start from
+        std::string problem;                   // what is wrong, for the operator; empty: nothing
     };
-    static Opened open(const operate::Store& store);  // throws nothing
+    static Opened open(const operate::StoreConfig& store);  // throws nothing
 
-    Vault(const Vault&) = delete;
-    Vault& operator=(const Vault&) = delete;
-    ~Vault();
+    SnapshotStore(const SnapshotStore&) = delete;
+    SnapshotStore& operator=(const SnapshotStore&) = delete;
+    ~SnapshotStore();
 
     // What is wrong, or empty: it is kept. A write that failed has changed nothing.
-    std::optional<std::string> write(const version::Set& current, const version::Set& settled,
-                                     const members::Starts& starts, Micros now);
+    std::optional<std::string> write(const version::VersionSet& current, const version::VersionSet& settled,
+                                     const members::StartTimes& starts, Micros now);
     // Nothing older is left to start from. False where even that can't be done.
     bool clear();
 
 private:
     struct Inner;
-    explicit Vault(std::unique_ptr<Inner> made);
+    explicit SnapshotStore(std::unique_ptr<Inner> made);
     std::unique_ptr<Inner> inner;
 };
 
 // A record as it stands in the store; decode() throws bytes::Malformed where it is torn or of another format.
 std::string encode(const std::vector<const version::Bundle*>& bundles, Micros saved_at,
-                   const members::Starts& starts);
-std::vector<version::Bundle> decode(std::string_view record, Micros& saved_at, members::Starts& starts);
+                   const members::StartTimes& starts);
+std::vector<version::Bundle> decode(std::string_view record, Micros& saved_at, members::StartTimes& starts);
 
 }  // namespace quillgrade::vault
--- a/src/version/bundle.cpp
+++ b/src/version/bundle.cpp
@@ -13,7 +13,7 @@
     return digest;
 }
 
-std::string text_of(const Set& set) {
+std::string describe(const VersionSet& set) {
     std::string all;
     for (auto& one : set)
         if (one)
@@ -22,7 +22,7 @@
     return all.empty() ? "nothing" : all;
 }
 
-Allowed allowed_by(const SiteFacts& facts, const site::Terms& terms) {
+ConfiguredLimits configured_limits(const SiteFacts& facts, const site::Terms& terms) {
     return {terms,
             facts.transmissions_cap,
             facts.second_copies,
--- a/src/version/check.cpp
+++ b/src/version/check.cpp
@@ -46,36 +46,37 @@
 
 }  // namespace
 
-Check::Check(Bundle bundle, std::shared_ptr<const Checked> before, const Allowed& allowed)
-    : allowed(allowed), before(std::move(before)), checked(std::make_shared<Checked>()) {
+Validator::Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> before,
+                     const ConfiguredLimits& limits)
+    : limits(limits), before(std::move(before)), checked(std::make_shared<ValidatedBundle>()) {
     checked->bundle = std::move(bundle);
     at = checked->bundle.items.begin();
 }
 
-void Check::fault(const std::string& where, const std::string& what) {
+void Validator::fault(const std::string& where, const std::string& what) {
     if (++faults <= most_told) told.push_back(where + ": " + what);
 }
 
-std::string Check::reason() const {
+std::string Validator::reason() const {
     std::string all;
     for (auto& one : told) all += (all.empty() ? "" : "; ") + one;
     if (faults > most_told) all += "; and " + std::to_string(faults - most_told) + " more faults";
     return all;
 }
 
-bool Check::take_needs(const std::string& name, const auto& message) {
+bool Validator::add_dependencies(const std::string& name, const auto& message) {
     for (auto& need : message.needs()) {
         auto kind = discovery::kind_of(need.type_url());
         if (!kind)
             fault(cited(name), "needs a resource of the unknown type " + cited(need.type_url()));
         else
-            checked->needs.push_back({*kind, need.name()});
+            checked->dependencies.push_back({*kind, need.name()});
     }
     return true;
 }
 
 // Rules are one text, the resources' in the order of their names.
-bool Check::step_rules(int statements) {
+bool Validator::step_rules(int statements) {
     if (!rules) {
         std::string all;
         for (auto& [name, item] : checked->bundle.items) {
@@ -84,16 +85,16 @@
                 fault(cited(name), "is no message of kind Rules");
                 return done = true;
             }
-            take_needs(name, message);
+            add_dependencies(name, message);
             all += message.text();
             if (!all.ends_with('\n')) all += '\n';
         }
-        std::sort(checked->needs.begin(), checked->needs.end());
+        std::sort(checked->dependencies.begin(), checked->dependencies.end());
         if (before && before->bundle.digest == checked->bundle.digest) {
             checked->rules = before->rules;
             return done = true;
         }
-        rules.emplace(std::move(all), allowed.rule_site, allowed.rule_budget);
+        rules.emplace(std::move(all), limits.rule_site, limits.rule_budget);
     }
     if (!rules->step(statements)) return false;
     for (auto& one : rules->faults())
@@ -104,7 +105,7 @@
     return done = true;
 }
 
-bool Check::step(int boxes) {
+bool Validator::step(int boxes) {
     if (checked->bundle.kind == Kind::Rules && !done) return step_rules(std::max(1, boxes / 4));
     auto& items = checked->bundle.items;
     while (!done && boxes > 0) {
@@ -118,8 +119,8 @@
             }
         } else if (at == items.end()) {
             auto by_id = [](auto& a, auto& b) { return a.entry.id < b.entry.id; };
-            std::sort(checked->boxes.begin(), checked->boxes.end(), by_id);
-            std::sort(checked->needs.begin(), checked->needs.end());
+            std::sort(checked->endpoints.begin(), checked->endpoints.end(), by_id);
+            std::sort(checked->dependencies.begin(), checked->dependencies.end());
             done = true;
         } else if (!begin(at->first, *at->second)) {
             at++;
@@ -129,7 +130,7 @@
     return done;
 }
 
-bool Check::begin(const std::string& name, Item& item) {
+bool Validator::begin(const std::string& name, Item& item) {
     if (checked->bundle.kind == Kind::Amounts) {
         read_amounts(name, item);
         return false;
@@ -140,8 +141,8 @@
             item.read = known->second->read;
     }
     if (item.read) {
-        for (auto& endpoint : item.read->boxes) add(endpoint, "boxes of '" + name + "'");
-        take_needs(*item.read);
+        for (auto& endpoint : item.read->endpoints) add(endpoint, "boxes of '" + name + "'");
+        add_dependencies(*item.read);
         return false;
     }
     wire::RawBoxes message;
@@ -149,43 +150,45 @@
         fault(cited(name), "is no message of kind Boxes");
         return false;
     }
-    reading = std::make_shared<BoxesRead>();
+    reading = std::make_shared<ParsedBoxes>();
     for (auto& zone : message.emptied()) {
-        int place = place_of(zone, allowed.terms.zones);
+        int place = place_of(zone, limits.terms.zones);
         if (place < 0)
             fault(cited(name),
-                  "'emptied' names " + cited(zone) + "; zones here: " + listed(allowed.terms.zones));
+                  "'emptied' names " + cited(zone) + "; zones here: " + listed(limits.terms.zones));
         else
-            reading->emptied.push_back(place);
+            reading->emptied_zones.push_back(place);
     }
     for (auto& need : message.needs()) {
         auto kind = discovery::kind_of(need.type_url());
         if (!kind)
             fault(cited(name), "needs a resource of the unknown type " + cited(need.type_url()));
         else
-            reading->needs.push_back({*kind, need.name()});
+            reading->dependencies.push_back({*kind, need.name()});
     }
     raw.clear();
     raw.reserve(static_cast<std::size_t>(message.boxes_size()));
     for (auto& box : *message.mutable_boxes()) raw.push_back(std::move(box));
     next = 0;
-    reading->boxes.reserve(raw.size());
+    reading->endpoints.reserve(raw.size());
     return true;
 }
 
-void Check::finish_item() {
-    take_needs(*reading);
+void Validator::finish_item() {
+    add_dependencies(*reading);
     at->second->read = std::move(reading);
     reading = nullptr;
     raw = {};
 }
 
-void Check::take_needs(const BoxesRead& read) {
-    checked->needs.insert(checked->needs.end(), read.needs.begin(), read.needs.end());
-    checked->emptied.insert(checked->emptied.end(), read.emptied.begin(), read.emptied.end());
+void Validator::add_dependencies(const ParsedBoxes& read) {
+    checked->dependencies.insert(checked->dependencies.end(), read.dependencies.begin(),
+                                 read.dependencies.end());
+    checked->emptied_zones.insert(checked->emptied_zones.end(), read.emptied_zones.begin(),
+                                  read.emptied_zones.end());
 }
 
-void Check::read_box(const std::string& bytes) {
+void Validator::read_box(const std::string& bytes) {
     wire::Box box;
     auto where = "box " + std::to_string(next) + " of " + cited(at->first);
     if (!box.ParseFromString(bytes)) return fault(where, "is no message of kind Box");
@@ -204,12 +207,12 @@
         return fault(where, "its address " + cited(box.address()) + " is not of the form 10.1.0.9:5050");
     }
     if (endpoint.port == 0) return fault(where, "its port is 0");
-    entry.zone = place_of(box.zone(), allowed.terms.zones);
+    entry.zone = place_of(box.zone(), limits.terms.zones);
     if (entry.zone < 0)
-        return fault(where, "zone " + cited(box.zone()) + "; zones here: " + listed(allowed.terms.zones));
-    entry.kind = place_of(box.kind(), allowed.terms.kinds);
+        return fault(where, "zone " + cited(box.zone()) + "; zones here: " + listed(limits.terms.zones));
+    entry.kind = place_of(box.kind(), limits.terms.kinds);
     if (entry.kind < 0)
-        return fault(where, "kind " + cited(box.kind()) + "; kinds here: " + listed(allowed.terms.kinds));
+        return fault(where, "kind " + cited(box.kind()) + "; kinds here: " + listed(limits.terms.kinds));
     if (box.cell() > 65'535) return fault(where, "its cell is over 65535");
     entry.cell = static_cast<int>(box.cell());
     if (box.state() < 0 || box.state() > 2) return fault(where, "its state is none of READY, DRAINING, GONE");
@@ -221,11 +224,11 @@
     if (box.started_ms() < 0 || box.started_ms() > latest_ms)
         return fault(where, "its start is out of range");
     entry.started = box.started_ms() * ms;
-    reading->boxes.push_back(endpoint);
+    reading->endpoints.push_back(endpoint);
     add(endpoint, where);
 }
 
-void Check::add(const feed::Endpoint& endpoint, const std::string& where) {
+void Validator::add(const feed::Endpoint& endpoint, const std::string& where) {
     if (!ids.insert(endpoint.entry.id).second)
         return fault(where, "id " + id_text(endpoint.entry.id) + " stands there twice");
     if (endpoint.entry.listed != Listed::Gone) {
@@ -234,10 +237,10 @@
         if (!fresh)
             return fault(where, id_text(endpoint.entry.id) + " has the address of " + id_text(other->second));
     }
-    checked->boxes.push_back(endpoint);
+    checked->endpoints.push_back(endpoint);
 }
 
-void Check::read_amounts(const std::string& name, const Item& item) {
+void Validator::read_amounts(const std::string& name, const Item& item) {
     wire::Amounts message;
     if (!message.ParseFromString(item.bytes)) return fault(cited(name), "is no message of kind Amounts");
     auto& amounts = checked->amounts;
@@ -251,23 +254,23 @@
         into = value;
     };
     take("transmissions", message.has_transmissions(), static_cast<std::int64_t>(message.transmissions()),
-         std::int64_t{1}, std::int64_t{allowed.transmissions}, amounts.transmissions);
+         std::int64_t{1}, std::int64_t{limits.max_attempts}, amounts.attempts);
     take("connect_timeout_us", message.has_connect_timeout_us(), Micros{message.connect_timeout_us()},
-         std::min(least_connect_time, allowed.terms.connect_time), allowed.terms.connect_time,
-         amounts.connect_time);
+         std::min(least_connect_time, limits.terms.connect_time), limits.terms.connect_time,
+         amounts.connect_timeout);
     take("idle_us", message.has_idle_us(), Micros{message.idle_us()},
-         std::min(least_idle_time, allowed.terms.idle_time), allowed.terms.idle_time, amounts.idle_time);
+         std::min(least_idle_time, limits.terms.idle_time), limits.terms.idle_time, amounts.idle_timeout);
     take("come_back_us", message.has_come_back_us(), Micros{message.come_back_us()}, Micros{0},
-         allowed.come_back, amounts.come_back);
+         limits.max_retry_after, amounts.max_retry_after);
     if (message.has_second_copies()) {
-        if (message.second_copies() && !allowed.second_copies)
+        if (message.second_copies() && !limits.second_copies_allowed)
             fault(cited(name), "second_copies is true, which the settings do not allow");
         else if (amounts.second_copies)
             fault(cited(name), "second_copies is told by another resource too");
         else
             amounts.second_copies = message.second_copies();
     }
-    take_needs(name, message);
+    add_dependencies(name, message);
 }
 
 }  // namespace quillgrade::version
--- a/src/version/check.hpp
+++ b/src/version/check.hpp
@@ -9,15 +9,15 @@
 
 namespace quillgrade::version {
 
-class Check {
+class Validator {
 public:
     // `before`: what is in force of that kind, or null. Neither needs to outlive the check but `allowed`.
-    Check(Bundle bundle, std::shared_ptr<const Checked> before, const Allowed& allowed);
+    Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> before, const ConfiguredLimits& limits);
     // Reads about `boxes` more boxes; true once all is done.
     bool step(int boxes);
     bool passed() const { return faults == 0; }
     std::string reason() const;  // where it has not passed
-    std::shared_ptr<const Checked> result() { return checked; }
+    std::shared_ptr<const ValidatedBundle> result() { return checked; }
     const Bundle& bundle() const { return checked->bundle; }
 
 private:
@@ -27,16 +27,16 @@
     void add(const feed::Endpoint& endpoint, const std::string& where);
     void finish_item();
     void read_amounts(const std::string& name, const Item& item);
-    void take_needs(const BoxesRead& read);
-    bool take_needs(const std::string& name, const auto& message);
+    void add_dependencies(const ParsedBoxes& read);
+    bool add_dependencies(const std::string& name, const auto& message);
     bool step_rules(int statements);
 
-    const Allowed& allowed;
-    std::shared_ptr<const Checked> before;
-    std::shared_ptr<Checked> checked;
+    const ConfiguredLimits& limits;
+    std::shared_ptr<const ValidatedBundle> before;
+    std::shared_ptr<ValidatedBundle> checked;
     Items::iterator at;
-    std::shared_ptr<BoxesRead> reading;  // of the item at `at`
-    std::vector<std::string> raw;        // its boxes, not read yet from `next` on
+    std::shared_ptr<ParsedBoxes> reading;  // of the item at `at`
+    std::vector<std::string> raw;          // its boxes, not read yet from `next` on
     std::size_t next = 0;
     std::optional<route::Loader> rules;  // of kind Rules: the texts of all items, one after another
     std::unordered_set<CacheId> ids;
--- a/src/version/ledger.cpp
+++ b/src/version/ledger.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-Ledger::Ledger(Allowed allowed, std::vector<Kind> taken, const Trial::Terms& trial)
-    : allowed(std::move(allowed)), taken(std::move(taken)), trial(trial) {}
+VersionManager::VersionManager(ConfiguredLimits limits, std::vector<Kind> taken, const Canary::Terms& trial)
+    : limits(std::move(limits)), taken(std::move(taken)), trial(trial) {}
 
-std::optional<std::string> Ledger::start_from(const std::vector<Bundle>& kept) {
-    Set set;
+std::optional<std::string> VersionManager::restore(const std::vector<Bundle>& kept) {
+    VersionSet set;
     for (auto& bundle : kept) {
         if (std::find(taken.begin(), taken.end(), bundle.kind) == taken.end()) continue;
-        Check check(bundle, nullptr, allowed);
+        Validator check(bundle, nullptr, limits);
         while (!check.step(slice)) {
         }
         if (!check.passed()) return cited(bundle) + ": " + check.reason();
@@ -39,17 +39,17 @@
     return {};
 }
 
-Phase Ledger::phase(Kind kind) const {
+Phase VersionManager::phase(Kind kind) const {
     auto& slot = slots[static_cast<std::size_t>(kind)];
-    if (slot.candidate) return slot.candidate->checked ? Phase::Staged : Phase::Checking;
-    return slot.waiting ? Phase::Waiting : Phase::None;
+    if (slot.candidate) return slot.candidate->checked ? Phase::Staged : Phase::Validating;
+    return slot.waiting ? Phase::Queued : Phase::None;
 }
 
-std::string Ledger::identity(Kind kind) const {
-    return of(force, kind) ? of(force, kind)->bundle.identity : "";
+std::string VersionManager::identity(Kind kind) const {
+    return version_of(force, kind) ? version_of(force, kind)->bundle.identity : "";
 }
 
-std::optional<std::uint64_t> Ledger::newest(const Slot& slot, const std::string& identity) {
+std::optional<std::uint64_t> VersionManager::newest(const Slot& slot, const std::string& identity) {
     std::optional<std::uint64_t> most;
     auto consider = [&](const std::string& who, std::uint64_t number) {
         if (who == identity && (!most || number > *most)) most = number;
@@ -61,7 +61,7 @@
 }
 
 // Only so many identities are remembered, else a service that restarts often would fill memory.
-void Ledger::note_newest(Slot& slot, const std::string& identity, std::uint64_t number) {
+void VersionManager::note_newest(Slot& slot, const std::string& identity, std::uint64_t number) {
     auto known = std::find_if(slot.newest.begin(), slot.newest.end(),
                               [&](auto& one) { return one.first == identity; });
     if (known != slot.newest.end()) {
@@ -73,13 +73,13 @@
 }
 
 // Why a version can't even be checked, if so. One that is in force already is nothing to refuse.
-std::optional<std::string> Ledger::refusal(Slot& slot, const Told& told) {
+std::optional<std::string> VersionManager::refusal(Slot& slot, const Told& told) {
     auto& head = told.head;
     for (auto& back : rolled_back)
         if (back.kind == head.kind && back.identity == head.identity && back.number == head.number &&
             (told.form == discovery::Form::Changes || back.digest == told.digest))
             return "was taken back before, as " + back.reason + "; publish under a new number to try again";
-    auto& in_force = of(force, head.kind);
+    auto& in_force = version_of(force, head.kind);
     bool running = in_force && in_force->bundle.identity == head.identity &&
                    in_force->bundle.number == head.number;  // also after a newer one was rolled back
     auto latest = newest(slot, head.identity);
@@ -97,7 +97,7 @@
     return {};
 }
 
-void Ledger::offered(StreamId stream, discovery::Offer offer, bool afresh, Micros /*now*/) {
+void VersionManager::receive(StreamId stream, discovery::Offer offer, bool afresh, Micros /*now*/) {
     counted.received++;
     bool known = offer.kind && std::find(taken.begin(), taken.end(), *offer.kind) != taken.end();
     if (!known || !offer.fault.empty()) {
@@ -132,7 +132,7 @@
         return told.form == discovery::Form::Whole && head.identity == told.head.identity &&
                head.number == told.head.number && digest == told.digest;
     };
-    auto& now = of(force, told.head.kind);
+    auto& now = version_of(force, told.head.kind);
     if (now && same(now->bundle, now->bundle.digest) && !slot.waiting && !slot.candidate) {
         counted.repeated++;
         std::tie(slot.stream, slot.nonce) = told.owed.back();
@@ -165,16 +165,16 @@
     slot.waiting = std::move(told);
 }
 
-bool Ledger::busy() const {
+bool VersionManager::has_work() const {
     if (!proposed.empty()) return false;
-    return staged_changed || trial.now_at() == Trial::State::Harmful ||
+    return staged_changed || trial.now_at() == Canary::State::Failed ||
            std::any_of(slots.begin(), slots.end(), [](auto& slot) {
                return slot.waiting || (slot.candidate && !slot.candidate->checked);
            });
 }
 
 // What waits is taken up: it replaces a version that is staged, which it has overtaken.
-void Ledger::promote(Slot& slot, Micros now) {
+void VersionManager::promote(Slot& slot, Micros now) {
     auto told = std::move(*slot.waiting);
     slot.waiting.reset();
     Candidate next;
@@ -191,7 +191,7 @@
                              slot.candidate->told.owed.end());
         }
     }
-    auto& before = of(force, told.head.kind);
+    auto& before = version_of(force, told.head.kind);
     Bundle bundle = told.head;
     if (!told.afresh && before) bundle.items = before->bundle.items;
     for (auto& [name, item] : told.changes) {
@@ -201,12 +201,12 @@
             bundle.items.erase(name);
     }
     bundle.digest = digest_of(bundle.items);
-    next.check = std::make_unique<Check>(std::move(bundle), before, allowed);
+    next.check = std::make_unique<Validator>(std::move(bundle), before, limits);
     next.told = std::move(told);
     slot.candidate = std::move(next);
 }
 
-void Ledger::work(Slot& slot, Micros /*now*/) {
+void VersionManager::work(Slot& slot, Micros /*now*/) {
     auto& candidate = *slot.candidate;
     if (!candidate.check->step(slice)) return;
     if (candidate.check->passed()) {
@@ -221,11 +221,11 @@
     turn_down(told, reason);
 }
 
-std::optional<std::string> Ledger::missing(const Set& set) {
+std::optional<std::string> VersionManager::missing(const VersionSet& set) {
     for (auto& one : set) {
         if (!one) continue;
-        for (auto& need : one->needs) {
-            auto& there = of(set, need.kind);
+        for (auto& need : one->dependencies) {
+            auto& there = version_of(set, need.kind);
             if (!there || !there->bundle.items.contains(need.name))
                 return cited(one->bundle) + " needs " + std::string(discovery::name_of(need.kind)) + " '" +
                        need.name.substr(0, 60) + "', which is not there";
@@ -235,14 +235,14 @@
 }
 
 // The largest group of staged versions with which nothing that is needed is missing.
-std::optional<Proposal> Ledger::put_together(Micros now) {
+std::optional<Proposal> VersionManager::put_together(Micros now) {
     std::vector<Slot*> staged;
     for (auto& slot : slots)
         if (slot.candidate && slot.candidate->checked) staged.push_back(&slot);
     for (int size = static_cast<int>(staged.size()); size > 0; size--)
         for (unsigned mask = 1; mask < 1U << staged.size(); mask++) {
             if (std::popcount(mask) != size) continue;
-            Set next = force;
+            VersionSet next = force;
             for (std::size_t i = 0; i < staged.size(); i++)
                 if (mask >> i & 1) {
                     auto& checked = staged[i]->candidate->checked;
@@ -255,7 +255,7 @@
         }
     for (auto* slot : staged) {  // what goes on waiting for its needs does not do so for ever
         if (now - slot->candidate->since < longest_staged) continue;
-        Set alone = force;
+        VersionSet alone = force;
         alone[static_cast<std::size_t>(slot->candidate->told.head.kind)] = slot->candidate->checked;
         auto told = std::move(slot->candidate->told);
         slot->candidate.reset();
@@ -264,9 +264,9 @@
     return {};
 }
 
-std::optional<Proposal> Ledger::step(Micros now) {
+std::optional<Proposal> VersionManager::step(Micros now) {
     if (!proposed.empty()) return {};
-    if (trial.now_at() == Trial::State::Harmful) {
+    if (trial.now_at() == Canary::State::Failed) {
         for (int kind = 0; kind < discovery::kinds; kind++)
             if (force[static_cast<std::size_t>(kind)] != settled[static_cast<std::size_t>(kind)])
                 proposed.push_back(static_cast<Kind>(kind));
@@ -288,7 +288,7 @@
     return put_together(now);
 }
 
-void Ledger::entered(const Counts& counts, Micros now) {
+void VersionManager::applied(const LookupCounts& counts, Micros now) {
     auto kinds = std::exchange(proposed, {});
     if (std::exchange(proposed_back, false)) {
         counted.rolled_back++;
@@ -304,7 +304,7 @@
                             "; in force again: " + (force[place] ? cited(force[place]->bundle) : "none"));
             auto& slot = slot_of(kind);
             answer({{slot.stream, slot.nonce}}, kind, "", "rolled back: " + trial.reason());
-            replies.back().roll_back = true;
+            replies.back().is_rollback = true;
         }
         trial.end();
         staged_changed = true;
@@ -323,11 +323,11 @@
         answer(candidate.told.owed, kind, "", {});
     }
     trial.begin(counts, now);
-    if (trial.now_at() == Trial::State::Idle) settled = force;  // no trials: what is in force is settled
+    if (trial.now_at() == Canary::State::Idle) settled = force;  // no trials: what is in force is settled
     staged_changed = true;
 }
 
-void Ledger::refused(const std::string& reason, Micros /*now*/) {
+void VersionManager::rejected(const std::string& reason, Micros /*now*/) {
     auto kinds = std::exchange(proposed, {});
     if (std::exchange(proposed_back, false)) {
         lines.push_back("no roll-back: " + reason);
@@ -344,41 +344,42 @@
     staged_changed = true;
 }
 
-void Ledger::observe(const Counts& counts, Micros now) {
-    if (trial.observe(counts, now) == Trial::State::Settled) {
+void VersionManager::observe(const LookupCounts& counts, Micros now) {
+    if (trial.observe(counts, now) == Canary::State::Passed) {
         settled = force;
         trial.end();
-        lines.push_back("settled: " + text_of(force));
+        lines.push_back("settled: " + describe(force));
     }
     for (auto& slot : slots)  // what is staged too long is looked at again
         if (slot.candidate && slot.candidate->checked && now - slot.candidate->since >= longest_staged)
             staged_changed = true;
 }
 
-void Ledger::turn_down(const Told& told, const std::string& reason) {
+void VersionManager::turn_down(const Told& told, const std::string& reason) {
     counted.turned_down++;
     lines.push_back("version " + cited(told.head) + " turned down: " + reason);
     answer(told.owed, told.head.kind, "", reason);
 }
 
-void Ledger::answer(const Owed& owed, Kind kind, const std::string& type_url,
-                    const std::optional<std::string>& reason) {
+void VersionManager::answer(const Owed& owed, Kind kind, const std::string& type_url,
+                            const std::optional<std::string>& reason) {
     for (auto& [stream, nonce] : owed) {
         discovery::Request request;
         request.kind = kind;
         request.type_url = type_url;
-        if (type_url.empty() && of(force, kind)) request.version = of(force, kind)->bundle.text;
+        if (type_url.empty() && version_of(force, kind))
+            request.version = version_of(force, kind)->bundle.text;
         request.nonce = nonce;
         request.reason = reason;
         replies.push_back({stream, std::move(request)});
     }
 }
 
-discovery::Request Ledger::subscription(Kind kind, bool claim_nothing) const {
+discovery::Request VersionManager::subscription(Kind kind, bool claim_no_resources) const {
     discovery::Request request;
     request.kind = kind;
-    auto& now = of(force, kind);
-    if (!now || claim_nothing) return request;
+    auto& now = version_of(force, kind);
+    if (!now || claim_no_resources) return request;
     request.version = now->bundle.text;
     for (auto& [name, item] : now->bundle.items) request.labels[name] = item->label;
     return request;
--- a/src/version/ledger.hpp
+++ b/src/version/ledger.hpp
@@ -29,52 +29,52 @@
 
 using StreamId = std::uint64_t;
 
-enum class Phase { None, Waiting, Checking, Staged };
+enum class Phase { None, Queued, Validating, Staged };
 
 struct Reply {
     StreamId stream;
     discovery::Request request;
-    bool roll_back = false;  // told by the router itself; where the stream has ended, another may carry it
+    bool is_rollback = false;  // told by the router itself; where the stream has ended, another may carry it
 };
 
 // What should come into force now. The caller keeps `next` and `settled`, takes it in, and then calls
 // entered(); or it calls refused(), and nothing has changed.
 struct Proposal {
-    Set next;
-    Set settled;        // the last one that has stood its trial: what a roll-back returns to
-    bool back = false;  // this is a roll-back
+    VersionSet next;
+    VersionSet settled;        // the last one that has stood its trial: what a roll-back returns to
+    bool is_rollback = false;  // this is a roll-back
 };
 
-class Ledger {
+class VersionManager {
 public:
-    Ledger(Allowed allowed, std::vector<Kind> taken, const Trial::Terms& trial);
+    VersionManager(ConfiguredLimits limits, std::vector<Kind> taken, const Canary::Terms& trial);
 
     // From the store, before anything else. False, with the reason, where it does not pass its check.
-    std::optional<std::string> start_from(const std::vector<Bundle>& kept);
+    std::optional<std::string> restore(const std::vector<Bundle>& kept);
     // `afresh`: the first of its kind on a stream that has claimed to hold nothing; changes are then all.
-    void offered(StreamId stream, discovery::Offer offer, bool afresh, Micros now);
-    bool busy() const;  // step() has something to do at once
+    void receive(StreamId stream, discovery::Offer offer, bool afresh, Micros now);
+    bool has_work() const;  // step() has something to do at once
     std::optional<Proposal> step(Micros now);
-    void entered(const Counts& counts, Micros now);
-    void refused(const std::string& reason, Micros now);
-    void observe(const Counts& counts, Micros now);
+    void applied(const LookupCounts& counts, Micros now);
+    void rejected(const std::string& reason, Micros now);
+    void observe(const LookupCounts& counts, Micros now);
 
-    discovery::Request subscription(Kind kind, bool claim_nothing) const;
+    discovery::Request subscription(Kind kind, bool claim_no_resources) const;
     std::vector<Reply> take_replies() { return std::exchange(replies, {}); }
-    std::vector<std::string> take_lines() { return std::exchange(lines, {}); }
+    std::vector<std::string> take_log_lines() { return std::exchange(lines, {}); }
 
-    const Set& in_force() const { return force; }
-    const Set& last_settled() const { return settled; }
+    const VersionSet& active() const { return force; }
+    const VersionSet& last_settled() const { return settled; }
     Phase phase(Kind kind) const;
-    Trial::State trial_state() const { return trial.now_at(); }
+    Canary::State canary_state() const { return trial.now_at(); }
     std::string identity(Kind kind) const;
 
     // How often each has happened.
-    struct Tally {
+    struct Counters {
         std::uint64_t received = 0, in_force = 0, turned_down = 0, overtaken = 0, rolled_back = 0,
                       repeated = 0;
     };
-    const Tally& tally() const { return counted; }
+    const Counters& counters() const { return counted; }
 
 private:
     using Owed = std::vector<std::pair<StreamId, std::string>>;  // nonces that wait for an answer
@@ -88,8 +88,8 @@
     };
     struct Candidate {
         Told told;
-        std::unique_ptr<Check> check;
-        std::shared_ptr<const Checked> checked;
+        std::unique_ptr<Validator> check;
+        std::shared_ptr<const ValidatedBundle> checked;
         Micros since = 0;
     };
     struct Slot {
@@ -115,23 +115,23 @@
     void promote(Slot& slot, Micros now);
     void work(Slot& slot, Micros now);
     std::optional<Proposal> put_together(Micros now);
-    static std::optional<std::string> missing(const Set& set);  // what is needed and is not there
+    static std::optional<std::string> missing(const VersionSet& set);  // what is needed and is not there
     void turn_down(const Told& told, const std::string& reason);
     void answer(const Owed& owed, Kind kind, const std::string& type_url,
                 const std::optional<std::string>& reason);
     Slot& slot_of(Kind kind) { return slots[static_cast<std::size_t>(kind)]; }
 
-    Allowed allowed;
+    ConfiguredLimits limits;
     std::vector<Kind> taken;
-    Trial trial;
-    Set force, settled;
+    Canary trial;
+    VersionSet force, settled;
     std::array<Slot, discovery::kinds> slots;
     std::vector<Kind> proposed;  // kinds of the proposal that is out
     bool proposed_back = false, staged_changed = false;
     std::deque<RolledBack> rolled_back;
     std::vector<Reply> replies;
     std::vector<std::string> lines;
-    Tally counted;
+    Counters counted;
 };
 
 }  // namespace quillgrade::version
--- a/src/version/trial.cpp
+++ b/src/version/trial.cpp
@@ -16,44 +16,45 @@
 
 }  // namespace
 
-void Trial::begin(const Counts& counts, Micros now) {
-    if (!terms.on) return;
+void Canary::begin(const LookupCounts& counts, Micros now) {
+    if (!terms.enabled) return;
     begun = now;
-    if (state == State::Going) return;
-    state = State::Going;
+    if (state == State::Running) return;
+    state = State::Running;
     first_begun = now;
     worse_running = 0;
     since = {{now, counts}};
     readings.push_back({now, counts});
 }
 
-Trial::State Trial::observe(const Counts& counts, Micros now) {
+Canary::State Canary::observe(const LookupCounts& counts, Micros now) {
     if (state == State::Idle) {
-        if (readings.empty() || now - readings.back().at >= observe_every) readings.push_back({now, counts});
+        if (readings.empty() || now - readings.back().at >= observation_interval)
+            readings.push_back({now, counts});
         while (readings.size() > 2 && now - readings.front().at > before_lasts) readings.pop_front();
         return state;
     }
-    if (state != State::Going || now - since.back().at < observe_every) return state;
+    if (state != State::Running || now - since.back().at < observation_interval) return state;
     since.push_back({now, counts});
     // The start of the trial is kept until it is over; in between only the last few seconds are judged.
     while (since.size() > 2 && now - since.front().at > latest) since.pop_front();
     worse_running = worse(counts, now) ? worse_running + 1 : 0;
     if (worse_running >= 2)
-        state = State::Harmful;
-    else if (worse_running == 0 && now - begun >= terms.lasts)
-        state = State::Settled;
+        state = State::Failed;
+    else if (worse_running == 0 && now - begun >= terms.duration)
+        state = State::Passed;
     return state;
 }
 
-bool Trial::worse(const Counts& counts, Micros now) {
+bool Canary::worse(const LookupCounts& counts, Micros now) {
     if (readings.size() < 2) return false;  // there was no time before
     auto& from = readings.front();
     auto& to = readings.back();
     auto& start = since.front();
-    auto n0 = static_cast<double>(to.counts.ended - from.counts.ended);
-    auto bad0 = static_cast<double>(to.counts.bad - from.counts.bad);
-    auto n1 = static_cast<double>(counts.ended - start.counts.ended);
-    auto bad1 = static_cast<double>(counts.bad - start.counts.bad);
+    auto n0 = static_cast<double>(to.counts.completed - from.counts.completed);
+    auto bad0 = static_cast<double>(to.counts.unsuccessful - from.counts.unsuccessful);
+    auto n1 = static_cast<double>(counts.completed - start.counts.completed);
+    auto bad1 = static_cast<double>(counts.unsuccessful - start.counts.unsuccessful);
     if (n0 < enough_before || n1 < enough_since) return false;
     auto seconds0 = static_cast<double>(to.at - from.at) / second;
     auto seconds1 = static_cast<double>(now - start.at) / second;
@@ -61,7 +62,7 @@
     double rate0 = bad0 / seconds0, rate1 = bad1 / seconds1;
     double all = (bad0 + bad1) / (n0 + n1);
     double error = std::sqrt(all * (1 - all) * (1 / n0 + 1 / n1));
-    bool is = share1 - share0 >= terms.rise && share1 - share0 >= clearly * error &&
+    bool is = share1 - share0 >= terms.min_increase && share1 - share0 >= clearly * error &&
               rate1 >= times_a_second * rate0;
     if (is) {
         std::array<char, 200> text;
--- a/src/version/trial.hpp
+++ b/src/version/trial.hpp
@@ -16,38 +16,39 @@
 namespace quillgrade::version {
 
 // Since the start of the router, ever rising.
-struct Counts {
-    std::uint64_t ended = 0;  // final answers of any kind
-    std::uint64_t bad = 0;    // of these, rejected or broken off
+struct LookupCounts {
+    std::uint64_t completed = 0;     // final answers of any kind
+    std::uint64_t unsuccessful = 0;  // of these, rejected or broken off
 };
 
-class Trial {
+class Canary {
 public:
-    enum class State { Idle, Going, Settled, Harmful };
+    enum class State { Idle, Running, Passed, Failed };
     struct Terms {
-        bool on = true;
-        Micros lasts = 15'000'000;
-        double rise = 0.10;  // of the share of bad ends, at least
+        bool enabled = true;
+        Micros duration = 15'000'000;
+        double min_increase = 0.10;  // of the share of bad ends, at least
     };
-    explicit Trial(const Terms& terms) : terms(terms) {}
+    explicit Canary(const Terms& terms) : terms(terms) {}
 
     // A version comes into force. One that follows another still on trial is judged with it, against the
     // time before both; the trial lasts from the newest on.
-    void begin(const Counts& counts, Micros now);
-    // To be called every `observe_every` or so; the state stays Settled or Harmful until end() or begin().
-    State observe(const Counts& counts, Micros now);
+    void begin(const LookupCounts& counts, Micros now);
+    // To be called every `observation_interval` or so; the state stays Settled or Harmful until end() or
+    // begin().
+    State observe(const LookupCounts& counts, Micros now);
     void end() { state = State::Idle; }  // what is in force now is what others are compared with
     State now_at() const { return state; }
     std::string reason() const { return why; }  // where Harmful
 
-    static constexpr Micros observe_every = 500'000;
+    static constexpr Micros observation_interval = 500'000;
 
 private:
     struct Reading {
         Micros at;
-        Counts counts;
+        LookupCounts counts;
     };
-    bool worse(const Counts& counts, Micros now);
+    bool worse(const LookupCounts& counts, Micros now);
 
     Terms terms;
     State state = State::Idle;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -21,8 +21,8 @@
     return {complete, std::move(all)};
 }
 
-std::shared_ptr<const Boxes> version(std::vector<feed::Endpoint> all) {
-    return std::make_shared<const Boxes>(std::move(all));
+std::shared_ptr<const Endpoints> version(std::vector<feed::Endpoint> all) {
+    return std::make_shared<const Endpoints>(std::move(all));
 }
 
 // What the router believes after it was told all changes.
@@ -47,11 +47,13 @@
 struct Told {
     explicit Told(operate::Membership membership = operate::Membership::Merged)
         : book(a_site(), terms().zones, membership) {}
-    void platform(const feed::Listing& news, Micros at = noon) { router.hear(book.platform(news, at)); }
-    void streamed(std::shared_ptr<const Boxes> boxes, Micros at = noon) {
-        router.hear(book.streamed(std::move(boxes), at));
+    void platform(const feed::Listing& news, Micros at = noon) {
+        router.hear(book.update_from_coordinator(news, at));
     }
-    Book book;
+    void streamed(std::shared_ptr<const Endpoints> boxes, Micros at = noon) {
+        router.hear(book.update_from_stream(std::move(boxes), at));
+    }
+    MergedEndpoints book;
     Believed router;
 };
 
@@ -122,10 +124,10 @@
     CHECK(told.router.now.at(1).entry.started == noon + 2 * test_second);
     CHECK(told.router.now.at(1).port == 81);
     CHECK(told.router.now.at(2).entry.started == noon + test_second);
-    CHECK(told.book.starts_since(noon + 3 * test_second, 1500 * test_ms).size() == 1);
+    CHECK(told.book.start_times_since(noon + 3 * test_second, 1500 * test_ms).size() == 1);
     // After a restart of the router they are as cold as they were.
     Told again;
-    again.book.remember(told.book.starts_since(noon + 3 * test_second, 10 * test_second));
+    again.book.restore_start_times(told.book.start_times_since(noon + 3 * test_second, 10 * test_second));
     again.streamed(version({box(1, Listed::Ready, 81), box(2)}), noon + 4 * test_second);
     CHECK(again.router.now.at(2).entry.started == noon + test_second);
 }
@@ -135,7 +137,7 @@
     told.streamed(version({box(1), box(2, Listed::Ready, 80, 0, 2), box(3, Listed::Ready, 80, 1, 0),
                            box(4, Listed::Ready, 80, 2, 0)}));
     CHECK(told.router.now.size() == 3);
-    CHECK(told.book.told_count() == 3);
+    CHECK(told.book.announced_count() == 3);
 }
 
 TEST_CASE("a version that would leave a location without a server says which") {
@@ -144,7 +146,7 @@
     auto parent = box(11, Listed::Ready, 80, 1, 0), origin = box(20, Listed::Ready, 80, 2, 0);
     told.streamed(version({box(1), elsewhere, parent, origin}));
     auto why = [&](std::vector<feed::Endpoint> next, const std::vector<int>& emptied = {}) {
-        return told.book.would_empty(Boxes(std::move(next)), emptied).value_or("");
+        return told.book.describe_unserved(Endpoints(std::move(next)), emptied).value_or("");
     };
     CHECK(why({box(2), elsewhere, parent, origin}) == "");
     CHECK(why({elsewhere, parent, origin}).find("zone 'east'") != std::string::npos);
--- a/tests/operate_test.cpp
+++ b/tests/operate_test.cpp
@@ -11,38 +11,38 @@
 
 std::string faults(std::string_view text) {
     std::string all;
-    for (auto& fault : read(text).faults) all += fault.where + ": " + fault.what + "\n";
+    for (auto& fault : parse(text).errors) all += fault.where + ": " + fault.what + "\n";
     return all;
 }
 
 }  // namespace
 
 TEST_CASE("a file without members turns nothing on") {
-    auto read = operate::read("{ /* nothing */ }  // at all");
-    CHECK(read.faults.empty());
-    CHECK(!read.plan.control);
-    CHECK(!read.plan.store);
+    auto read = operate::parse("{ /* nothing */ }  // at all");
+    CHECK(read.errors.empty());
+    CHECK(!read.config.control);
+    CHECK(!read.config.store);
 }
 
 TEST_CASE("a whole file is read") {
-    auto read = operate::read(R"({
+    auto read = operate::parse(R"({
         // where versions come from
         "control": {"services": ["127.0.0.1:18000", "127.0.0.2:18000"], "form": "incremental",
                     "kinds": ["boxes"], "membership": "streamed", "cluster": "schools",
                     "longest_version_mb": 2, "trial": {"for_s": 30, "rise": 0.2}},
         "store": {"path": "/var/lib/quillgrade", "megabytes": 16, "sync": false}})");
-    CHECK(read.faults.empty());
-    auto& control = *read.plan.control;
+    CHECK(read.errors.empty());
+    auto& control = *read.config.control;
     CHECK(control.services.size() == 2);
     CHECK(control.form == discovery::Form::Changes);
     CHECK(control.membership == Membership::Streamed);
     CHECK(control.kinds == std::vector{discovery::Kind::Boxes});
-    CHECK(control.longest_version == 2U << 20);
-    CHECK(control.trial_for == 30 * test_second);
-    CHECK(read.plan.store->bytes == 16U << 20);
-    CHECK(!read.plan.store->sync);
-    CHECK(
-        !operate::read(R"({"control": {"services": ["127.0.0.1:1"], "trial": false}})").plan.control->trial);
+    CHECK(control.max_version_bytes == 2U << 20);
+    CHECK(control.canary_duration == 30 * test_second);
+    CHECK(read.config.store->max_bytes == 16U << 20);
+    CHECK(!read.config.store->sync);
+    CHECK(!operate::parse(R"({"control": {"services": ["127.0.0.1:1"], "trial": false}})")
+               .config.control->canary);
 }
 
 TEST_CASE("all faults are told at once, by path") {
@@ -73,6 +73,6 @@
 
 TEST_CASE("a file cut at any byte is refused or means nothing else") {
     std::string text = R"({"control": {"services": ["127.0.0.1:18000"]}, "store": {"path": "/a"}})";
-    for (std::size_t cut = 0; cut < text.size(); cut++) CHECK(!read(text.substr(0, cut)).faults.empty());
-    CHECK(read(text).faults.empty());
+    for (std::size_t cut = 0; cut < text.size(); cut++) CHECK(!parse(text.substr(0, cut)).errors.empty());
+    CHECK(parse(text).errors.empty());
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -272,20 +272,20 @@
 }
 
 TEST_CASE("the operators' file turns the talk with peers on, and its faults are told") {
-    CHECK(!operate::read("{}").plan.peers);
-    auto read = operate::read(R"({"peers": {"period_ms": 500, "bytes_per_s": 400, "gap_ms": 300}})");
-    CHECK(read.faults.empty());
-    REQUIRE(read.plan.peers);
-    CHECK(read.plan.peers->period == 500 * ms);
-    CHECK(read.plan.peers->bytes_per_s == 400);
-    CHECK(!read.plan.peers->state_transfer);
-    CHECK(operate::read(R"({"peers": {"state_transfer": true}})").plan.peers->state_transfer);
-    auto no_flag = operate::read(R"({"peers": {"state_transfer": "yes"}})");
-    REQUIRE(no_flag.faults.size() == 1);
-    CHECK(no_flag.faults[0].where == "peers.state_transfer");
-    CHECK(no_flag.faults[0].what == "true or false is expected, not \"yes\"");
-    auto bad = operate::read(R"({"peers": {"period_ms": 5, "longest_ms": 300, "gap_ms": 900, "bites": 1}})");
-    CHECK(bad.faults.size() == 4);
+    CHECK(!operate::parse("{}").config.peers);
+    auto read = operate::parse(R"({"peers": {"period_ms": 500, "bytes_per_s": 400, "gap_ms": 300}})");
+    CHECK(read.errors.empty());
+    REQUIRE(read.config.peers);
+    CHECK(read.config.peers->probe_interval == 500 * ms);
+    CHECK(read.config.peers->bytes_per_s == 400);
+    CHECK(!read.config.peers->state_transfer);
+    CHECK(operate::parse(R"({"peers": {"state_transfer": true}})").config.peers->state_transfer);
+    auto no_flag = operate::parse(R"({"peers": {"state_transfer": "yes"}})");
+    REQUIRE(no_flag.errors.size() == 1);
+    CHECK(no_flag.errors[0].where == "peers.state_transfer");
+    CHECK(no_flag.errors[0].what == "true or false is expected, not \"yes\"");
+    auto bad = operate::parse(R"({"peers": {"period_ms": 5, "longest_ms": 300, "gap_ms": 900, "bites": 1}})");
+    CHECK(bad.errors.size() == 4);
 }
 
 TEST_CASE("a router talks with its peers only where the settings allow it and its number is in the list") {
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -670,20 +670,20 @@
 // ---- the operators' file
 
 TEST_CASE("what is shared is named in the operators' file, with peers, and faults are told") {
-    auto good = operate::read(
+    auto good = operate::parse(
         R"({"peers": {}, "shared": {"rights": {"owners": 6, "loan_ms": 900}, "counts": false}})");
-    CHECK(good.faults.empty());
-    REQUIRE(good.plan.shared);
-    CHECK(good.plan.shared->owners == 6);
-    CHECK(good.plan.shared->lease == 900 * ms);
-    CHECK(!good.plan.shared->counts);
-    CHECK(good.plan.shared->facts);
-    CHECK(!operate::read(R"({"peers": {}, "shared": {"rights": false}})").plan.shared->quotas);
-    CHECK(operate::read(R"({"shared": {}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"rights": {"owners": 0}}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"rights": {"owners": 2.5}}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"budgets": {}}})").faults.size() == 1);
-    CHECK(!operate::read("{}").plan.shared);
+    CHECK(good.errors.empty());
+    REQUIRE(good.config.shared);
+    CHECK(good.config.shared->lease_grantors == 6);
+    CHECK(good.config.shared->lease_duration == 900 * ms);
+    CHECK(!good.config.shared->counts);
+    CHECK(good.config.shared->facts);
+    CHECK(!operate::parse(R"({"peers": {}, "shared": {"rights": false}})").config.shared->quotas);
+    CHECK(operate::parse(R"({"shared": {}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"rights": {"owners": 0}}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"rights": {"owners": 2.5}}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"budgets": {}}})").errors.size() == 1);
+    CHECK(!operate::parse("{}").config.shared);
 }
 
 TEST_CASE("the onlooker's budget counts what came within a window") {
--- a/tests/turn_test.cpp
+++ b/tests/turn_test.cpp
@@ -19,11 +19,11 @@
     for (int most : {0, 1}) {
         Quiet quiet;
         version::Amounts amounts;
-        if (most) amounts.transmissions = most;
+        if (most) amounts.attempts = most;
         quiet.turn.take({Quiet::caches({1, 2, 3}), amounts, Quiet::arrived(9)}, noon);
         quiet.turn.take({Landed{9, 0, 1, Outcome::Reset, noon, {}}}, noon + test_ms);
         CHECK(quiet.turn.held() == (most ? 0 : 1));
-        CHECK(quiet.turn.counts().bad == (most ? 1 : 0));
+        CHECK(quiet.turn.counts().unsuccessful == (most ? 1 : 0));
     }
 }
 
@@ -33,7 +33,7 @@
         Quiet quiet;
         quiet.turn.take({Quiet::caches({1, 2, 3}), Quiet::arrived(9)}, noon);
         quiet.turn.take({Left{{1, 1}, 9}}, noon + (late ? 3 : 1) * test_second);
-        CHECK(quiet.turn.counts().bad == (late ? 1 : 0));
+        CHECK(quiet.turn.counts().unsuccessful == (late ? 1 : 0));
     }
 }
 
--- a/tests/vault_test.cpp
+++ b/tests/vault_test.cpp
@@ -30,11 +30,11 @@
     Folder(const Folder&) = delete;
     Folder& operator=(const Folder&) = delete;
     ~Folder() { std::filesystem::remove_all(path); }
-    operate::Store store(std::size_t bytes = 8U << 20) const { return {path + "/store", bytes, false}; }
+    operate::StoreConfig store(std::size_t bytes = 8U << 20) const { return {path + "/store", bytes, false}; }
 };
 
-version::Set version_of(std::uint64_t number, std::size_t size = 100) {
-    auto checked = std::make_shared<version::Checked>();
+version::VersionSet version_of(std::uint64_t number, std::size_t size = 100) {
+    auto checked = std::make_shared<version::ValidatedBundle>();
     auto& bundle = checked->bundle;
     bundle.kind = version::Kind::Boxes;
     bundle.identity = "ctl-a";
@@ -45,7 +45,7 @@
     while (item->bytes.size() < size) item->bytes += bundle.text + ";";
     bundle.items["all"] = item;
     bundle.digest = version::digest_of(bundle.items);
-    version::Set set;
+    version::VersionSet set;
     set[0] = checked;
     return set;
 }
@@ -62,7 +62,7 @@
     return bundle.number;
 }
 
-std::string file_of(const operate::Store& store) { return store.path + "/data.mdb"; }
+std::string file_of(const operate::StoreConfig& store) { return store.path + "/data.mdb"; }
 
 void spoil(const std::string& file, std::mt19937& chance, int bytes) {
     std::fstream out(file, std::ios::in | std::ios::out | std::ios::binary);
@@ -78,19 +78,19 @@
 TEST_CASE("what is written is found again, with what had settled before it") {
     Folder folder;
     {
-        auto opened = Vault::open(folder.store());
-        REQUIRE(opened.vault);
-        CHECK(!opened.kept);
-        CHECK(opened.said == "");
-        CHECK(!opened.vault->write(version_of(1), version_of(1), {}, noon));
-        CHECK(!opened.vault->write(version_of(2), version_of(1), {{7, noon}}, noon + 5));
+        auto opened = SnapshotStore::open(folder.store());
+        REQUIRE(opened.store);
+        CHECK(!opened.snapshot);
+        CHECK(opened.problem == "");
+        CHECK(!opened.store->write(version_of(1), version_of(1), {}, noon));
+        CHECK(!opened.store->write(version_of(2), version_of(1), {{7, noon}}, noon + 5));
     }
-    auto opened = Vault::open(folder.store());
-    REQUIRE(opened.kept);
-    CHECK(number_of(opened.kept->current) == 2);
-    CHECK(number_of(opened.kept->settled) == 1);
-    CHECK(opened.kept->saved_at == noon + 5);
-    CHECK(opened.kept->starts == members::Starts{{7, noon}});
+    auto opened = SnapshotStore::open(folder.store());
+    REQUIRE(opened.snapshot);
+    CHECK(number_of(opened.snapshot->current) == 2);
+    CHECK(number_of(opened.snapshot->settled) == 1);
+    CHECK(opened.snapshot->saved_at == noon + 5);
+    CHECK(opened.snapshot->start_times == members::StartTimes{{7, noon}});
 }
 
 // Guards against a signal in a start (SIGHUP, SIGTERM) that makes a whole version look torn: the router would
@@ -101,20 +101,20 @@
     Folder folder;
     auto store = folder.store(64U << 20);
     {
-        auto opened = Vault::open(store);
-        REQUIRE(opened.vault);
-        REQUIRE(!opened.vault->write(version_of(1, 4U << 20), version_of(1, 4U << 20), {}, noon));
+        auto opened = SnapshotStore::open(store);
+        REQUIRE(opened.store);
+        REQUIRE(!opened.store->write(version_of(1, 4U << 20), version_of(1, 4U << 20), {}, noon));
     }
     heard = 0;
     auto before = std::signal(SIGALRM, [](int) { heard = heard + 1; });
     for (int round = 0; round < 20; round++) {
         setitimer(ITIMER_REAL, &every_2_ms, nullptr);
-        auto opened = Vault::open(store);
+        auto opened = SnapshotStore::open(store);
         setitimer(ITIMER_REAL, &never, nullptr);
         INFO("round ", round);
-        CHECK(opened.said == "");
-        REQUIRE(opened.kept);
-        CHECK(number_of(opened.kept->current) == 1);
+        CHECK(opened.problem == "");
+        REQUIRE(opened.snapshot);
+        CHECK(number_of(opened.snapshot->current) == 1);
     }
     std::signal(SIGALRM, before);
     CHECK(heard > 0);
@@ -128,9 +128,9 @@
         REQUIRE(pipe(ends.data()) == 0);
         auto child = fork();
         if (child == 0) {
-            auto opened = Vault::open(folder.store());
-            for (std::uint64_t number = least + 1; opened.vault; number++) {
-                if (opened.vault->write(version_of(number, 100'000), version_of(number / 8 * 8, 50'000), {},
+            auto opened = SnapshotStore::open(folder.store());
+            for (std::uint64_t number = least + 1; opened.store; number++) {
+                if (opened.store->write(version_of(number, 100'000), version_of(number / 8 * 8, 50'000), {},
                                         noon))
                     break;
                 if (::write(ends[1], &number, sizeof number) != sizeof number) break;  // the acknowledgement
@@ -146,10 +146,10 @@
         waitpid(child, nullptr, 0);
         while (::read(ends[0], &number, sizeof number) == sizeof number) acknowledged = number;
         close(ends[0]);
-        auto opened = Vault::open(folder.store());
-        REQUIRE_MESSAGE(opened.said == "", opened.said);
-        REQUIRE(opened.kept);
-        auto found = number_of(opened.kept->current);
+        auto opened = SnapshotStore::open(folder.store());
+        REQUIRE_MESSAGE(opened.problem == "", opened.problem);
+        REQUIRE(opened.snapshot);
+        auto found = number_of(opened.snapshot->current);
         CHECK(found >= acknowledged);
         CHECK(found <= acknowledged + 1);
         least = found;
@@ -161,7 +161,7 @@
     auto set = version_of(3, 200);
     auto record = encode({&set[0]->bundle}, noon, {});
     Micros at = 0;
-    members::Starts starts;
+    members::StartTimes starts;
     CHECK(number_of(decode(record, at, starts)) == 3);
     for (std::size_t cut = 0; cut < record.size(); cut++)
         CHECK_THROWS_AS(decode(std::string_view(record).substr(0, cut), at, starts), bytes::Malformed);
@@ -180,25 +180,25 @@
         Folder folder;
         auto store = folder.store();
         {
-            auto opened = Vault::open(store);
+            auto opened = SnapshotStore::open(store);
             for (std::uint64_t number = 1; number < 6; number++)
-                REQUIRE(!opened.vault->write(version_of(number, 9000), version_of(number, 9000), {}, noon));
+                REQUIRE(!opened.store->write(version_of(number, 9000), version_of(number, 9000), {}, noon));
         }
         if (round % 3 == 0)
             std::filesystem::resize_file(file_of(store),
                                          chance() % std::filesystem::file_size(file_of(store)));
         else
             spoil(file_of(store), chance, 1 << chance() % 10);
-        auto opened = Vault::open(store);
-        if (opened.kept) {
-            CHECK(number_of(opened.kept->current) >= 4);  // a damaged last state shows the one before
-        } else if (!opened.said.empty()) {
+        auto opened = SnapshotStore::open(store);
+        if (opened.snapshot) {
+            CHECK(number_of(opened.snapshot->current) >= 4);  // a damaged last state shows the one before
+        } else if (!opened.problem.empty()) {
             aside++;
-            CHECK(opened.said.find("set aside as") != std::string::npos);
-            REQUIRE(opened.vault);
-            REQUIRE(!opened.vault->write(version_of(9), version_of(9), {}, noon));
-            opened.vault.reset();
-            CHECK(number_of(Vault::open(store).kept.value().current) == 9);
+            CHECK(opened.problem.find("set aside as") != std::string::npos);
+            REQUIRE(opened.store);
+            REQUIRE(!opened.store->write(version_of(9), version_of(9), {}, noon));
+            opened.store.reset();
+            CHECK(number_of(SnapshotStore::open(store).snapshot.value().current) == 9);
         }
     }
     CHECK(aside > 10);
@@ -208,8 +208,8 @@
     Folder folder;
     auto store = folder.store();
     {
-        auto opened = Vault::open(store);
-        REQUIRE(!opened.vault->write(version_of(1), version_of(1), {}, noon));
+        auto opened = SnapshotStore::open(store);
+        REQUIRE(!opened.store->write(version_of(1), version_of(1), {}, noon));
     }
     {
         MDB_env* env;
@@ -229,57 +229,57 @@
         mdb_env_close(env);
     }
     auto size = std::filesystem::file_size(file_of(store));
-    auto opened = Vault::open(store);
-    CHECK(!opened.vault);
-    CHECK(!opened.kept);
-    CHECK(opened.said.find("its format is 2") != std::string::npos);
+    auto opened = SnapshotStore::open(store);
+    CHECK(!opened.store);
+    CHECK(!opened.snapshot);
+    CHECK(opened.problem.find("its format is 2") != std::string::npos);
     CHECK(std::filesystem::file_size(file_of(store)) == size);
 }
 
 TEST_CASE("no place to write: no store, and the reason") {
     for (std::string path : {"/proc/quillgrade", "/dev/null/store", "/proc/self/status/x"}) {
-        auto opened = Vault::open({path, 8U << 20, true});
-        CHECK(!opened.vault);
-        CHECK(!opened.kept);
-        CHECK(opened.said.find("can't be written") != std::string::npos);
+        auto opened = SnapshotStore::open({path, 8U << 20, true});
+        CHECK(!opened.store);
+        CHECK(!opened.snapshot);
+        CHECK(opened.problem.find("can't be written") != std::string::npos);
     }
 }
 
 TEST_CASE("a full store changes nothing, says so, and can be emptied") {
     Folder folder;
     auto store = folder.store(1 << 20);
-    auto opened = Vault::open(store);
-    REQUIRE(!opened.vault->write(version_of(1), version_of(1), {}, noon));
-    auto failed = opened.vault->write(version_of(2, 3'000'000), version_of(1), {}, noon);
+    auto opened = SnapshotStore::open(store);
+    REQUIRE(!opened.store->write(version_of(1), version_of(1), {}, noon));
+    auto failed = opened.store->write(version_of(2, 3'000'000), version_of(1), {}, noon);
     REQUIRE(failed);
     CHECK(failed->find("MAP_FULL") != std::string::npos);
-    opened.vault.reset();
-    opened = Vault::open(store);
-    CHECK(number_of(opened.kept.value().current) == 1);
-    CHECK(opened.vault->clear());
-    CHECK(!opened.vault->write(version_of(3), version_of(3), {}, noon));
-    opened.vault.reset();
-    CHECK(number_of(Vault::open(store).kept.value().current) == 3);
+    opened.store.reset();
+    opened = SnapshotStore::open(store);
+    CHECK(number_of(opened.snapshot.value().current) == 1);
+    CHECK(opened.store->clear());
+    CHECK(!opened.store->write(version_of(3), version_of(3), {}, noon));
+    opened.store.reset();
+    CHECK(number_of(SnapshotStore::open(store).snapshot.value().current) == 3);
 }
 
 TEST_CASE("a disk that is full fails the write, and leaves what was there") {
     Folder folder;
     auto store = folder.store();
     {
-        auto opened = Vault::open(store);
-        REQUIRE(!opened.vault->write(version_of(1), version_of(1), {}, noon));
+        auto opened = SnapshotStore::open(store);
+        REQUIRE(!opened.store->write(version_of(1), version_of(1), {}, noon));
     }
     auto child = fork();
     if (child == 0) {  // the limit would hold for the other tests too
         signal(SIGXFSZ, SIG_IGN);
         rlimit limit{100'000, 100'000};
         setrlimit(RLIMIT_FSIZE, &limit);
-        auto opened = Vault::open(store);
-        bool refused = opened.vault && opened.vault->write(version_of(2, 500'000), version_of(1), {}, noon);
+        auto opened = SnapshotStore::open(store);
+        bool refused = opened.store && opened.store->write(version_of(2, 500'000), version_of(1), {}, noon);
         _exit(refused ? 0 : 1);
     }
     int status = 0;
     waitpid(child, &status, 0);
     CHECK(WEXITSTATUS(status) == 0);
-    CHECK(number_of(Vault::open(store).kept.value().current) == 1);
+    CHECK(number_of(SnapshotStore::open(store).snapshot.value().current) == 1);
 }
--- a/tests/version_test.cpp
+++ b/tests/version_test.cpp
@@ -68,18 +68,18 @@
 }
 
 struct Run {
-    explicit Run(Trial::Terms trial = {false, 0, 0})
-        : ledger(allowed_by(a_site(), terms()), {Kind::Boxes, Kind::Amounts}, trial) {}
+    explicit Run(Canary::Terms trial = {false, 0, 0})
+        : ledger(configured_limits(a_site(), terms()), {Kind::Boxes, Kind::Amounts}, trial) {}
     // Works until there is nothing to do; each proposal comes into force.
     int settle(Micros now = noon) {
         int entered = 0;
-        for (int i = 0; i < 100'000 && ledger.busy(); i++)
+        for (int i = 0; i < 100'000 && ledger.has_work(); i++)
             if (auto proposal = ledger.step(now)) {
                 last = *proposal;
-                ledger.entered(counts, now);
+                ledger.applied(counts, now);
                 entered++;
             }
-        REQUIRE(!ledger.busy());
+        REQUIRE(!ledger.has_work());
         for (auto& reply : ledger.take_replies()) replies.push_back(reply);
         return entered;
     }
@@ -90,15 +90,15 @@
         return reply;
     }
     std::uint64_t running() const {
-        auto& now = of(ledger.in_force(), Kind::Boxes);
+        auto& now = version_of(ledger.active(), Kind::Boxes);
         return now ? now->bundle.number : 0;
     }
     std::size_t held() const {
-        auto& now = of(ledger.in_force(), Kind::Boxes);
-        return now ? now->boxes.size() : 0;
+        auto& now = version_of(ledger.active(), Kind::Boxes);
+        return now ? now->endpoints.size() : 0;
     }
-    Ledger ledger;
-    Counts counts;
+    VersionManager ledger;
+    LookupCounts counts;
     Proposal last;
     std::vector<Reply> replies;
 };
@@ -109,13 +109,13 @@
 
 TEST_CASE("a good version comes into force and is acknowledged only then") {
     Run run;
-    run.ledger.offered(7, offer(Kind::Boxes, 3, {boxes("east", {{}})}), false, noon);
+    run.ledger.receive(7, offer(Kind::Boxes, 3, {boxes("east", {{}})}), false, noon);
     CHECK(run.ledger.take_replies().empty());
     std::optional<Proposal> proposal;
     while (!proposal) proposal = run.ledger.step(noon);
     CHECK(run.running() == 0);
     CHECK(run.ledger.take_replies().empty());  // not before it is kept
-    run.ledger.entered({}, noon);
+    run.ledger.applied({}, noon);
     CHECK(run.running() == 3);
     auto replies = run.ledger.take_replies();
     REQUIRE(replies.size() == 1);
@@ -150,10 +150,10 @@
                             {{Box{}, same_address}, "has the address of s-00000001"}};
     for (auto& bad : all) {
         Run run;
-        run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("good", {{}})}), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("good", {{}})}), false, noon);
         run.settle();
         run.replies.clear();
-        run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("bad", bad.all)}), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("bad", bad.all)}), false, noon);
         CHECK(run.settle() == 0);
         auto reply = run.only();
         CHECK(reply.request.version == "1");
@@ -165,14 +165,14 @@
 
 TEST_CASE("a resource that is no message, or names an unknown zone or type, is turned down") {
     Run run;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {{"x", "", "\x0a\x01x\x12\xff\xff"}}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {{"x", "", "\x0a\x01x\x12\xff\xff"}}), false, noon);
     run.settle();
     CHECK(run.only().request.reason->find("no message of kind Boxes") != std::string::npos);
     wire::Boxes message;
     message.set_name("x");
     message.add_emptied("nowhere");
     message.add_needs()->set_type_url("type.example/Thing");
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {{"x", "", message.SerializeAsString()}}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {{"x", "", message.SerializeAsString()}}), false, noon);
     run.settle();
     auto reason = *run.only().request.reason;
     CHECK(reason.find("'nowhere'") != std::string::npos);
@@ -181,14 +181,14 @@
 
 TEST_CASE("amounts are never wider than the settings") {
     Run run;
-    run.ledger.offered(1, offer(Kind::Amounts, 1, {amounts("all", 7)}), false, noon);  // 6 there
+    run.ledger.receive(1, offer(Kind::Amounts, 1, {amounts("all", 7)}), false, noon);  // 6 there
     run.settle();
     CHECK(run.only().request.reason->find("transmissions is 7; 1 to 6 is allowed here") != std::string::npos);
-    run.ledger.offered(1, offer(Kind::Amounts, 2, {amounts("all", 2)}), false, noon);
+    run.ledger.receive(1, offer(Kind::Amounts, 2, {amounts("all", 2)}), false, noon);
     CHECK(run.settle() == 1);
-    CHECK(of(run.ledger.in_force(), Kind::Amounts)->amounts.transmissions == 2);
+    CHECK(version_of(run.ledger.active(), Kind::Amounts)->amounts.attempts == 2);
     run.replies.clear();
-    run.ledger.offered(1, offer(Kind::Amounts, 3, {amounts("all", 2), amounts("again", 3)}), false, noon);
+    run.ledger.receive(1, offer(Kind::Amounts, 3, {amounts("all", 2), amounts("again", 3)}), false, noon);
     run.settle();
     CHECK(run.only().request.reason->find("told by another resource too") != std::string::npos);
 }
@@ -196,7 +196,7 @@
 TEST_CASE("versions out of order, repeated, skipped") {
     Run run;
     auto tell = [&](std::uint64_t number, const Box& box) {
-        run.ledger.offered(1, offer(Kind::Boxes, number, {boxes("east", {box})}), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, number, {boxes("east", {box})}), false, noon);
         run.settle();
         return run.only().request.reason;
     };
@@ -206,16 +206,16 @@
     CHECK(tell(7, {}).value().find("is older than 9 of 'ctl-a'") != std::string::npos);
     CHECK(run.running() == 9);
     CHECK(!tell(9, other()));  // repeated
-    CHECK(run.ledger.tally().repeated == 1);
+    CHECK(run.ledger.counters().repeated == 1);
     CHECK(tell(9, {}).value().find("told before with other contents") != std::string::npos);
     CHECK(run.held() == 1);
-    CHECK(of(run.ledger.in_force(), Kind::Boxes)->boxes[0].entry.id == 2);
+    CHECK(version_of(run.ledger.active(), Kind::Boxes)->endpoints[0].entry.id == 2);
 }
 
 TEST_CASE("a service with a new identity numbers from 1, and two services don't hide each other's order") {
     Run run;
     auto tell = [&](const char* identity, std::uint64_t number, const Box& box) {
-        run.ledger.offered(1, offer(Kind::Boxes, number, {boxes("east", {box})}, identity), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, number, {boxes("east", {box})}, identity), false, noon);
         run.settle();
         return run.only().request.reason;
     };
@@ -233,40 +233,40 @@
 TEST_CASE("pending versions collapse to the newest, whatever comes") {
     Run run;
     for (std::uint64_t number = 1; number <= 1000; number++)
-        run.ledger.offered(1, offer(Kind::Boxes, number, {boxes("east", {{}})}), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, number, {boxes("east", {{}})}), false, noon);
     CHECK(run.settle() == 1);
     CHECK(run.running() == 1000);
-    CHECK(run.ledger.tally().overtaken == 999);
+    CHECK(run.ledger.counters().overtaken == 999);
     CHECK(run.only().request.nonce == "ctl-a/1000b");
 }
 
 TEST_CASE("changes build on each other, and each nonce is answered") {
     Run run;
-    run.ledger.offered(1, changes(1, {boxes("a", {{}})}), true, noon);
+    run.ledger.receive(1, changes(1, {boxes("a", {{}})}), true, noon);
     run.settle();
     run.replies.clear();
-    run.ledger.offered(1, changes(2, {boxes("b", {other()})}), false, noon);
-    run.ledger.offered(1, changes(3, {}, {"a"}), false, noon);
+    run.ledger.receive(1, changes(2, {boxes("b", {other()})}), false, noon);
+    run.ledger.receive(1, changes(3, {}, {"a"}), false, noon);
     run.settle();
     REQUIRE(run.replies.size() == 2);
     CHECK(run.replies[0].request.nonce == "ctl-a/2b");
     CHECK(run.replies[1].request.nonce == "ctl-a/3b");
     CHECK(run.held() == 1);
-    CHECK(of(run.ledger.in_force(), Kind::Boxes)->boxes[0].entry.id == 2);
-    run.ledger.offered(2, changes(4, {boxes("c", {{}})}), true, noon);  // a stream that has claimed nothing
+    CHECK(version_of(run.ledger.active(), Kind::Boxes)->endpoints[0].entry.id == 2);
+    run.ledger.receive(2, changes(4, {boxes("c", {{}})}), true, noon);  // a stream that has claimed nothing
     run.settle();
     CHECK(run.held() == 1);
-    CHECK(of(run.ledger.in_force(), Kind::Boxes)->boxes[0].entry.id == 1);
+    CHECK(version_of(run.ledger.active(), Kind::Boxes)->endpoints[0].entry.id == 1);
 }
 
 TEST_CASE("a bad change leaves the good ones alone, before it and after it") {
     Run run;
-    run.ledger.offered(1, changes(1, {boxes("a", {{}})}), true, noon);
+    run.ledger.receive(1, changes(1, {boxes("a", {{}})}), true, noon);
     run.settle();
     Box bad{"x", "", "", "", 1};
-    run.ledger.offered(1, changes(2, {boxes("b", {bad})}), false, noon);
-    while (run.ledger.phase(Kind::Boxes) != Phase::Checking) run.ledger.step(noon);
-    run.ledger.offered(1, changes(3, {boxes("c", {other()})}), false, noon);
+    run.ledger.receive(1, changes(2, {boxes("b", {bad})}), false, noon);
+    while (run.ledger.phase(Kind::Boxes) != Phase::Validating) run.ledger.step(noon);
+    run.ledger.receive(1, changes(3, {boxes("c", {other()})}), false, noon);
     run.settle();
     CHECK(run.held() == 2);
     CHECK(run.running() == 3);
@@ -277,9 +277,9 @@
         Run run;
         auto tell = [&](bool of_boxes) {
             if (of_boxes)
-                run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}}, "busy")}), false, noon);
+                run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}}, "busy")}), false, noon);
             else
-                run.ledger.offered(1, offer(Kind::Amounts, 1, {amounts("busy", 2)}), false, noon);
+                run.ledger.receive(1, offer(Kind::Amounts, 1, {amounts("busy", 2)}), false, noon);
         };
         tell(boxes_first);
         int entered = run.settle();
@@ -288,20 +288,20 @@
         tell(!boxes_first);
         CHECK(run.settle() == 1);
         CHECK(run.running() == 1);
-        CHECK(of(run.ledger.in_force(), Kind::Amounts));
+        CHECK(version_of(run.ledger.active(), Kind::Amounts));
         // What is needed can't be taken away from under it: it waits until the one that needs it has gone.
-        run.ledger.offered(1, offer(Kind::Amounts, 2, {}), false, noon);
+        run.ledger.receive(1, offer(Kind::Amounts, 2, {}), false, noon);
         CHECK(run.settle() == 0);
-        run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("east", {{}})}), false, noon);
+        run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("east", {{}})}), false, noon);
         CHECK(run.settle() == 1);
-        CHECK(of(run.ledger.in_force(), Kind::Amounts)->bundle.number == 2);
+        CHECK(version_of(run.ledger.active(), Kind::Amounts)->bundle.number == 2);
         CHECK(run.running() == 2);
     }
 }
 
 TEST_CASE("what waits for its needs too long is turned down and says for what") {
     Run run;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}}, "busy")}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}}, "busy")}), false, noon);
     run.settle();
     CHECK(run.replies.empty());
     run.ledger.observe({}, noon + 31 * test_second);
@@ -313,13 +313,13 @@
 
 TEST_CASE("a refusal by the caller turns the version down and leaves what is in force") {
     Run run;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, noon);
     run.settle();
     run.replies.clear();
-    run.ledger.offered(1, offer(Kind::Boxes, 2, {}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 2, {}), false, noon);
     while (!run.ledger.step(noon)) {
     }
-    run.ledger.refused("it would leave zone 'east' without a server", noon);
+    run.ledger.rejected("it would leave zone 'east' without a server", noon);
     run.settle();
     CHECK(run.only().request.reason == "it would leave zone 'east' without a server");
     CHECK(run.running() == 1);
@@ -331,12 +331,12 @@
     unknown.kind.reset();
     unknown.type_url = "type.example/Thing";
     unknown.fault = "resource type 'type.example/Thing' is not known here";
-    run.ledger.offered(1, unknown, false, noon);
+    run.ledger.receive(1, unknown, false, noon);
     run.settle();
     auto reply = run.only();
     CHECK(reply.request.type_url == "type.example/Thing");
     CHECK(reply.request.reason);
-    run.ledger.offered(1, offer(Kind::Rules, 1, {}), false, noon);
+    run.ledger.receive(1, offer(Kind::Rules, 1, {}), false, noon);
     run.settle();
     CHECK(run.only().request.reason->find("Rules are not taken") != std::string::npos);
 }
@@ -347,8 +347,8 @@
 void play(Run& run, Micros& now, int seconds, double bad) {
     for (int i = 0; i < seconds * 2; i++) {
         now += 500 * test_ms;
-        run.counts.ended += 10;
-        run.counts.bad += static_cast<std::uint64_t>(bad / 2);
+        run.counts.completed += 10;
+        run.counts.unsuccessful += static_cast<std::uint64_t>(bad / 2);
         run.ledger.observe(run.counts, now);
         run.settle(now);
     }
@@ -359,12 +359,12 @@
 TEST_CASE("a version that does harm is rolled back, reported, and not taken again") {
     Run run({true, 15 * test_second, 0.1});
     Micros now = noon;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
     run.settle(now);
     play(run, now, 40, 0);
-    CHECK(run.ledger.trial_state() == Trial::State::Idle);  // settled
+    CHECK(run.ledger.canary_state() == Canary::State::Idle);  // settled
     run.replies.clear();
-    run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
     run.settle(now);
     CHECK(run.running() == 2);
     CHECK(!run.only().request.reason);
@@ -374,13 +374,13 @@
     CHECK(reply.request.version == "1");
     CHECK(reply.request.nonce == "ctl-a/2b");
     CHECK(reply.request.reason->find("rolled back: it did harm") != std::string::npos);
-    run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
     run.settle(now);
     CHECK(run.only().request.reason->find("was taken back before") != std::string::npos);
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);  // the service goes back
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);  // the service goes back
     run.settle(now);
     CHECK(!run.only().request.reason);
-    run.ledger.offered(1, offer(Kind::Boxes, 3, {boxes("east", {other()})}), false, now);  // meant
+    run.ledger.receive(1, offer(Kind::Boxes, 3, {boxes("east", {other()})}), false, now);  // meant
     run.settle(now);
     CHECK(run.running() == 3);
 }
@@ -388,13 +388,13 @@
 TEST_CASE("a version that comes while another is on trial: both are taken back to the last settled one") {
     Run run({true, 15 * test_second, 0.1});
     Micros now = noon;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
     run.settle(now);
     play(run, now, 40, 0);
-    run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
     run.settle(now);
     play(run, now, 1, 0);
-    run.ledger.offered(1, offer(Kind::Boxes, 3, {boxes("east", {other(), {}})}), false, now);
+    run.ledger.receive(1, offer(Kind::Boxes, 3, {boxes("east", {other(), {}})}), false, now);
     run.settle(now);
     CHECK(run.last.settled == run.ledger.last_settled());
     play(run, now, 10, 14);
@@ -405,40 +405,40 @@
     for (double before : {0.0, 4.0}) {
         Run run({true, 15 * test_second, 0.1});
         Micros now = noon;
-        run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
+        run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("east", {{}})}), false, now);
         run.settle(now);
         play(run, now, 40, before);
-        run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
+        run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("east", {other()})}), false, now);
         run.settle(now);
         play(run, now, 20, before + 0);
         CHECK(run.running() == 2);
-        CHECK(run.ledger.trial_state() == Trial::State::Idle);
-        CHECK(run.ledger.tally().rolled_back == 0);
+        CHECK(run.ledger.canary_state() == Canary::State::Idle);
+        CHECK(run.ledger.counters().rolled_back == 0);
     }
 }
 
 TEST_CASE("what is kept is taken up at the start, or the reason is told") {
     Run first;
-    first.ledger.offered(1, offer(Kind::Boxes, 4, {boxes("east", {{}})}), false, noon);
+    first.ledger.receive(1, offer(Kind::Boxes, 4, {boxes("east", {{}})}), false, noon);
     first.settle();
-    std::vector<Bundle> kept = {of(first.ledger.in_force(), Kind::Boxes)->bundle};
+    std::vector<Bundle> kept = {version_of(first.ledger.active(), Kind::Boxes)->bundle};
     Run second;
-    CHECK(!second.ledger.start_from(kept));
+    CHECK(!second.ledger.restore(kept));
     CHECK(second.running() == 4);
     auto again = second.ledger.subscription(Kind::Boxes, false);
     CHECK(again.version == "4");
     CHECK(again.labels.size() == 1);
     CHECK(second.ledger.subscription(Kind::Boxes, true).labels.empty());
-    second.ledger.offered(1, offer(Kind::Boxes, 3, {}), false, noon);
+    second.ledger.receive(1, offer(Kind::Boxes, 3, {}), false, noon);
     second.settle();
     CHECK(second.only().request.reason->find("older than 4") != std::string::npos);
     auto site = a_site();
     auto elsewhere = terms();
     elsewhere.zones = {"central", "west", "north"};
     for (auto& [name, item] : kept[0].items) item->read.reset();
-    Ledger third(allowed_by(site, elsewhere), {Kind::Boxes}, {false, 0, 0});
-    CHECK(third.start_from(kept).value().find("zone 'east'") != std::string::npos);
-    CHECK(!of(third.in_force(), Kind::Boxes));
+    VersionManager third(configured_limits(site, elsewhere), {Kind::Boxes}, {false, 0, 0});
+    CHECK(third.restore(kept).value().find("zone 'east'") != std::string::npos);
+    CHECK(!version_of(third.active(), Kind::Boxes));
 }
 
 TEST_CASE("ten thousand boxes are checked in slices, and an unchanged resource is not read again") {
@@ -451,18 +451,18 @@
     all.reserve(ids.size());
     for (int i = 0; i < 10'000; i++) all.push_back({ids[i].c_str(), addresses[i].c_str(), "east", "std", 1});
     Run run;
-    run.ledger.offered(1, offer(Kind::Boxes, 1, {boxes("all", all)}), false, noon);
+    run.ledger.receive(1, offer(Kind::Boxes, 1, {boxes("all", all)}), false, noon);
     int steps = 0;
-    while (run.ledger.busy() && steps < 1000) {
-        if (run.ledger.step(noon)) run.ledger.entered({}, noon);
+    while (run.ledger.has_work() && steps < 1000) {
+        if (run.ledger.step(noon)) run.ledger.applied({}, noon);
         steps++;
     }
     CHECK(steps >= 10'000 / 256);
     CHECK(run.held() == 10'000);
-    auto before = of(run.ledger.in_force(), Kind::Boxes)->bundle.items.at("all")->read;
-    run.ledger.offered(1, offer(Kind::Boxes, 2, {boxes("all", all)}), false, noon);
+    auto before = version_of(run.ledger.active(), Kind::Boxes)->bundle.items.at("all")->read;
+    run.ledger.receive(1, offer(Kind::Boxes, 2, {boxes("all", all)}), false, noon);
     run.settle();
-    CHECK(of(run.ledger.in_force(), Kind::Boxes)->bundle.items.at("all")->read == before);
+    CHECK(version_of(run.ledger.active(), Kind::Boxes)->bundle.items.at("all")->read == before);
 }
 
 // Deterministic simulation: services, streams, bad versions, refusals and harm in orders drawn by chance.
@@ -480,21 +480,21 @@
         std::map<std::pair<std::string, std::uint64_t>, int> contents;  // told good, by identity and number
         std::map<std::string, std::uint64_t> highest;                   // in force so far, by identity
         int nonces = 0;
-        Set before;
+        VersionSet before;
         auto checked = [&] {
-            auto& force = run.ledger.in_force();
+            auto& force = run.ledger.active();
             for (auto& one : force) {
                 if (!one) continue;
-                for (auto& need : one->needs) {  // never half
-                    REQUIRE(of(force, need.kind));
-                    REQUIRE(of(force, need.kind)->bundle.items.contains(need.name));
+                for (auto& need : one->dependencies) {  // never half
+                    REQUIRE(version_of(force, need.kind));
+                    REQUIRE(version_of(force, need.kind)->bundle.items.contains(need.name));
                 }
             }
-            auto& now_in = of(force, Kind::Boxes);
-            if (now_in && now_in != of(before, Kind::Boxes)) {
+            auto& now_in = version_of(force, Kind::Boxes);
+            if (now_in && now_in != version_of(before, Kind::Boxes)) {
                 auto& bundle = now_in->bundle;
                 REQUIRE(contents.contains({bundle.identity, bundle.number}));
-                bool back = now_in == of(run.ledger.last_settled(), Kind::Boxes);
+                bool back = now_in == version_of(run.ledger.last_settled(), Kind::Boxes);
                 if (!back) REQUIRE(bundle.number >= highest[bundle.identity]);
                 highest[bundle.identity] = std::max(highest[bundle.identity], bundle.number);
             }
@@ -532,7 +532,7 @@
                     made.nonce = "n" + std::to_string(++nonces);
                     good[made.nonce] = !bad;
                     if (!bad) contents[{identity, number}]++;
-                    run.ledger.offered(1 + draw(2), made, false, now);
+                    run.ledger.receive(1 + draw(2), made, false, now);
                     break;
                 }
                 case 3: {  // of amounts, with or without what boxes may need
@@ -540,7 +540,7 @@
                                       {amounts(draw(2) ? "busy" : "calm", 1 + draw(8))});
                     made.nonce = "n" + std::to_string(++nonces);
                     good[made.nonce] = true;
-                    run.ledger.offered(1, made, false, now);
+                    run.ledger.receive(1, made, false, now);
                     break;
                 }
                 case 4:
@@ -548,14 +548,14 @@
                     for (unsigned i = draw(6); i > 0; i--)
                         if (auto proposal = run.ledger.step(now)) {
                             if (draw(5))
-                                run.ledger.entered(run.counts, now);
+                                run.ledger.applied(run.counts, now);
                             else
-                                run.ledger.refused("the caller does not want it", now);
+                                run.ledger.rejected("the caller does not want it", now);
                         }
                     break;
                 default:
-                    run.counts.ended += 40;
-                    run.counts.bad += draw(6) ? 1 : 30;
+                    run.counts.completed += 40;
+                    run.counts.unsuccessful += draw(6) ? 1 : 30;
                     run.ledger.observe(run.counts, now);
             }
             checked();
@@ -564,12 +564,12 @@
         for (int i = 0; i < 200; i++) {
             now += test_second;
             run.ledger.observe(run.counts, now);
-            for (int step = 0; step < 20 && run.ledger.busy(); step++)
-                if (run.ledger.step(now)) run.ledger.entered(run.counts, now);
+            for (int step = 0; step < 20 && run.ledger.has_work(); step++)
+                if (run.ledger.step(now)) run.ledger.applied(run.counts, now);
             checked();
         }
-        REQUIRE(!run.ledger.busy());
-        REQUIRE(run.ledger.trial_state() == Trial::State::Idle);
+        REQUIRE(!run.ledger.has_work());
+        REQUIRE(run.ledger.canary_state() == Canary::State::Idle);
         REQUIRE(run.ledger.phase(Kind::Boxes) == Phase::None);
     }
 }
