--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -34,7 +34,7 @@
     return out;
 }
 
-peers::MembershipConfig start_of(const launch::Neighbourhood& all, const operate::Neighbours& plan,
+peers::MembershipConfig start_of(const launch::Neighbourhood& all, const operate::PeersConfig& plan,
                                  std::uint64_t seed, Micros now) {
     peers::MembershipConfig start;
     start.self = all.self;
@@ -43,18 +43,18 @@
     start.life = static_cast<peers::Life>(now / 1000);
     start.seed = seed;
     start.now = now;
-    start.settings.probe_period = plan.period;
+    start.settings.probe_period = plan.probe_interval;
     start.settings.bytes_per_s = plan.bytes_per_s;
-    start.settings.shortest_suspicion = plan.shortest;
-    start.settings.longest_suspicion = plan.longest;
-    start.settings.longest_pause = plan.gap;
+    start.settings.shortest_suspicion = plan.min_suspicion;
+    start.settings.longest_suspicion = plan.max_suspicion;
+    start.settings.longest_pause = plan.pause_threshold;
     start.settings.state_transfer = plan.state_transfer;
     return start;
 }
 
 }  // namespace
 
-PeerPort::PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::Neighbours& plan,
+PeerPort::PeerPort(event_base* base, const launch::Neighbourhood& all, const operate::PeersConfig& plan,
                    std::uint64_t seed, Micros now)
     : addresses(all.all), view(start_of(all, plan, seed, now)), wake(base, [] {}) {
     for (std::size_t i = 0; i < addresses.size(); i++)
@@ -101,8 +101,8 @@
     came.clear();
 }
 
-void PeerPort::pass(const version::Counts& counts, Micros now) {
-    view.set_unhealthy(request_health.update(counts.ended, counts.bad, now));
+void PeerPort::pass(const version::LookupCounts& counts, Micros now) {
+    view.set_unhealthy(request_health.update(counts.completed, counts.unsuccessful, now));
     if (now >= view.next_tick()) view.tick(now);
     send_and_say(now);
     wake.set(view.next_tick() - now);
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -10,12 +10,13 @@
 
 constexpr Micros say_every = 10'000'000;
 
-shared::ExchangeOptions terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
+shared::ExchangeOptions terms_of(const operate::SharedStateConfig& plan, const launch::Launch& launch,
+                                 Clock& clock) {
     shared::ExchangeOptions terms;
-    terms.features = {plan.facts, plan.quotas, plan.judgements, plan.counts};
+    terms.features = {plan.facts, plan.quotas, plan.health_reports, plan.counts};
     terms.settings = static_cast<const Bounds&>(launch.facts);
-    terms.grantors = plan.owners;
-    terms.lease_duration = plan.lease;
+    terms.grantors = plan.lease_grantors;
+    terms.lease_duration = plan.lease_duration;
     terms.now = {clock.now(), Clock::steady()};
     // New with each start, so that no answer to an earlier life's ask is taken for one to this one's.
     terms.seed = static_cast<std::uint32_t>(launch.seed ^ (launch.seed >> 32)) ^
@@ -25,13 +26,13 @@
 
 }  // namespace
 
-Sharing::Sharing(PeerPort& peers, const operate::Sharing& plan, const launch::Launch& launch, Clock& clock,
-                 Turn& turn)
+Sharing::Sharing(PeerPort& peers, const operate::SharedStateConfig& plan, const launch::Launch& launch,
+                 Clock& clock, Turn& turn)
     : turn(turn), exchange(peers.membership(), terms_of(plan, launch, clock)) {
     turn.share(&exchange);
     std::string parts;
     for (auto& [on, name] : {std::pair(plan.facts, "facts"), std::pair(plan.quotas, "rights"),
-                             std::pair(plan.judgements, "judgements"), std::pair(plan.counts, "counts")})
+                             std::pair(plan.health_reports, "judgements"), std::pair(plan.counts, "counts")})
         if (on) parts += std::string(parts.empty() ? "" : ", ") + name;
     log::info("shared: {}", parts.empty() ? "nothing" : parts);
     if (plan.quotas && !launch.facts.ratings_are_links)
