--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -56,7 +56,7 @@
 
 shared::ExchangeOptions shared_terms_of(peers::Number self, const HollowTerms& terms, Micros now) {
     shared::ExchangeOptions made;
-    made.settings = static_cast<const Bounds&>(terms.launch->facts);
+    made.settings = static_cast<const RoutingSettings&>(terms.launch->facts);
     made.features.facts = terms.shared_facts;
     made.now = {now, node::Clock::steady()};
     made.seed = static_cast<std::uint32_t>(terms.seed + static_cast<std::uint64_t>(self) * 2654435761U) ^
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -33,7 +33,7 @@
 shared::ExchangeOptions exchange_terms(std::uint32_t seed, const shared::ClockReadings& now) {
     shared::ExchangeOptions terms;
     terms.features = {.facts = true, .quotas = false, .health_reports = false, .request_counts = false};
-    terms.settings.purge_done = 6 * second;
+    terms.settings.purge_retention = 6 * second;
     terms.seed = seed;
     terms.now = now;
     return terms;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -39,7 +39,7 @@
 
 struct ExchangeOptions {
     Features features{};
-    Bounds settings{};  // of the settings
+    RoutingSettings settings{};  // of the settings
     int grantors = 4;
     Micros lease_duration = 3'000'000;
     std::uint32_t seed = 1;
@@ -72,8 +72,8 @@
     void record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now);
 
     // What this router holds against servers, as it stands now.
-    void report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now);
-    Hearsay peer_health(CacheId server, Micros started, const ClockReadings& now) const;
+    void report_health(const std::vector<HealthReport>& told, int measured, const ClockReadings& now);
+    PeerHealthReport peer_health(CacheId server, Micros started, const ClockReadings& now) const;
     std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
     // A first part is asked for: how many other routers of the location were asked for it too.
@@ -105,7 +105,7 @@
     };
     void take(Number from, Life life, const Payload& load, const ClockReadings& now);
     void tell_facts(const ClockReadings& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
+    bool is_parent(const EndpointEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
 
     peers::Membership& membership;
     ExchangeOptions terms;
@@ -114,7 +114,7 @@
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
-    std::map<CacheId, ListEntry> cold;
+    std::map<CacheId, EndpointEntry> cold;
     std::map<CacheId, int> zones;  // of the servers complained of
     std::vector<Complaint> complaints;
     Breadth breadth;
