--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -17,7 +17,7 @@
 
 using namespace quillgrade;
 using peers::Micros;
-using peers::Number;
+using peers::RouterIndex;
 using peers::State;
 
 namespace {
@@ -36,7 +36,7 @@
           next(start.now),
           heard(static_cast<std::size_t>(start.routers), start.now),
           dead(static_cast<std::size_t>(start.routers)) {}
-    void hear(Number from, std::string_view /*datagram*/, Micros now) {
+    void hear(RouterIndex from, std::string_view /*datagram*/, Micros now) {
         auto i = static_cast<std::size_t>(from);
         heard[i] = now;
         if (dead[i]) say(from, State::Dead, State::Alive, now);
@@ -64,11 +64,11 @@
     const peers::Figures& figures() const { return seen; }
 
 private:
-    void say(Number who, State before, State after, Micros now) {
+    void say(RouterIndex who, State before, State after, Micros now) {
         changed.push_back({who, before, after, now, {}, -1});
     }
     static constexpr std::size_t size = 22;
-    Number self;
+    RouterIndex self;
     int others;
     Micros every, limit, next;
     int turn = 0;
@@ -92,10 +92,10 @@
         for (int first = 0; first < sim.count(); first += 16) {
             peers::Message news;
             news.from = (i + 1) % sim.count();
-            news.self = sim.protocol(news.from)->self();
-            news.kind = peers::Kind::News;
+            news.sender_state = sim.protocol(news.from)->self();
+            news.type = peers::MessageType::Gossip;
             for (int who = first; who < std::min(sim.count(), first + 16); who++)
-                if (who != i) news.accounts.push_back({who, sim.protocol(who)->self()});
+                if (who != i) news.records.push_back({who, sim.protocol(who)->self()});
             sim.protocol(i)->hear(news.from, encode(news), sim.clock(i));
         }
 }
--- a/model/loans.cpp
+++ b/model/loans.cpp
@@ -43,14 +43,14 @@
 }();
 
 struct Flying {
-    Number from, to;
-    Life life;  // of who asks, or was asked by
+    RouterIndex from, to;
+    Generation life;  // of who asks, or was asked by
     std::variant<Ask, Grant> what;
 };
 
 struct World {
     std::vector<Quotas> all;
-    std::vector<Life> lives = std::vector<Life>(routers, 1);
+    std::vector<Generation> lives = std::vector<Generation>(routers, 1);
     std::vector<Micros> pending =
         std::vector<Micros>(routers, 0);  // until when it may be written; 0: nothing waits
     std::vector<Flying> flying;
@@ -68,7 +68,7 @@
     }
 };
 
-Quotas fresh(Number self, Life life, Micros now, bool long_there) {
+Quotas fresh(RouterIndex self, Generation life, Micros now, bool long_there) {
     QuotaTerms terms;
     terms.self = self;
     terms.routers = routers;
@@ -94,7 +94,7 @@
     // The shortest trace to a broken bound, empty where none was found.
     std::vector<std::string> run() {
         World first;
-        for (Number i = 0; i < routers; i++) first.all.push_back(fresh(i, 1, begin, true));
+        for (RouterIndex i = 0; i < routers; i++) first.all.push_back(fresh(i, 1, begin, true));
         auto at = hash(first);
         parents.emplace(at, std::pair<std::uint64_t, std::string>{0, ""});
         std::deque<std::pair<std::uint64_t, World>> frontier;
@@ -141,7 +141,7 @@
         auto renumber = [&](std::uint32_t number) {
             return numbers.emplace(number, static_cast<std::int64_t>(numbers.size()) + 1).first->second;
         };
-        for (Number i = 0; i < routers; i++) {
+        for (RouterIndex i = 0; i < routers; i++) {
             auto place = static_cast<std::size_t>(i);
             world.all[place].fingerprint(words, world.now, renumber);
             words.insert(words.end(), {-77, static_cast<std::int64_t>(world.lives[place]),
@@ -162,14 +162,14 @@
     }
 
     // A router's pass: what it asks and grants goes on its way. What there is no room for is lost.
-    void pass(World& world, Number who) {
+    void pass(World& world, RouterIndex who) {
         auto& quotas = world.all[static_cast<std::size_t>(who)];
         auto life = world.lives[static_cast<std::size_t>(who)];
         for (auto& [to, grant] : quotas.grants(world.now)) {
             seen.lent = true;
             world.flying.push_back({who, to, life, grant});
         }
-        for (auto& [to, ask] : quotas.asks([](Number) { return true; }, world.now)) {
+        for (auto& [to, ask] : quotas.asks([](RouterIndex) { return true; }, world.now)) {
             seen.renewed |= ask.renews != 0;
             world.flying.push_back({who, to, life, ask});
         }
@@ -192,7 +192,7 @@
             what(next);
             out.emplace_back(name, std::move(next));
         };
-        for (Number who = 0; who < routers; who++) {
+        for (RouterIndex who = 0; who < routers; who++) {
             auto place = static_cast<std::size_t>(who);
             auto name = std::to_string(who);
             if (world.pending[place] == 0)
@@ -243,7 +243,7 @@
                 next.now += tick;
                 next.ticks++;
                 std::erase_if(next.sent, [&](auto at) { return next.now - at >= window; });
-                for (Number who = 0; who < routers; who++) {
+                for (RouterIndex who = 0; who < routers; who++) {
                     next.all[static_cast<std::size_t>(who)].list({{server, 1, work}}, next.now);
                     pass(next, who);
                 }
--- a/src/launch/launch.cpp
+++ b/src/launch/launch.cpp
@@ -18,7 +18,7 @@
 using nlohmann::json;
 using site::Unusable;
 
-constexpr std::size_t most_neighbours = peers::most_routers;
+constexpr std::size_t most_neighbours = peers::max_routers;
 constexpr int other_descriptors = 24;  // log, listener, loop, signals, coordinator, and some to spare
 
 // Guards against amounts that no deployment has; only a kind that the site lacks is told as -1.
--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -40,7 +40,7 @@
     start.self = all.self;
     start.routers = static_cast<int>(all.all.size());
     start.zone = all.zone;
-    start.life = static_cast<peers::Life>(now / 1000);
+    start.life = static_cast<peers::Generation>(now / 1000);
     start.seed = seed;
     start.now = now;
     start.rates.period = plan.period;
@@ -74,7 +74,7 @@
         throw std::bad_alloc();
     }
     wake.set(0);
-    log::info("peers: number {} of {}, life {}", all.self, addresses.size(), view.self().life);
+    log::info("peers: number {} of {}, life {}", all.self, addresses.size(), view.self().generation);
 }
 
 PeerPort::~PeerPort() {
@@ -85,7 +85,7 @@
 void PeerPort::readable() {
     for (int i = 0; i < most_a_pass; i++) {
         // One byte more than a datagram may have tells those that are too long.
-        std::array<char, peers::longest + 1> bytes;
+        std::array<char, peers::max_datagram_bytes + 1> bytes;
         sockaddr_in from{};
         socklen_t size = sizeof from;
         auto got = recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
@@ -129,9 +129,9 @@
     }
     for (auto& one : view.changes())
         log::info("peers: {} {} -> {} (life {}, incarnation {}, by {})", one.who, name_of(one.before),
-                  name_of(one.after), one.member_state.life, one.member_state.incarnation, one.by);
+                  name_of(one.after), one.member_state.generation, one.member_state.incarnation, one.by);
     for (auto& one : view.heard_of())
-        log::info("peers: {} {} {}", one.listener, one.cut ? "does not hear" : "hears again", one.speaker);
+        log::info("peers: {} {} {}", one.receiver, one.down ? "does not hear" : "hears again", one.sender);
     for (auto& one : view.health()) log::info("peers: {} is {}", one.who, one.ill ? "ill" : "well");
     say_transferred(now);
     say_dropped(now);
--- a/src/peers/account.hpp
+++ b/src/peers/account.hpp
@@ -5,10 +5,10 @@
 
 namespace quillgrade::peers {
 
-struct Account {
-    Number who = 0;
+struct MemberRecord {
+    RouterIndex member = 0;
     MemberState member_state;
-    bool operator==(const Account&) const = default;
+    bool operator==(const MemberRecord&) const = default;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/member_state.hpp
+++ b/src/peers/member_state.hpp
@@ -21,32 +21,32 @@
 namespace quillgrade::peers {
 
 using Micros = std::int64_t;
-using Number = int;  // a router's place in the list of `peers`, from 0
-using Life =
+using RouterIndex = int;  // a router's place in the list of `peers`, from 0
+using Generation =
     std::uint64_t;  // Unix milliseconds of the start, or one above an earlier life; 0: never heard of
 
 // Routers of a tier that the protocol is built and measured for; a longer list is refused at the start. A
 // hash of a digest has 16 bits for a number, a page of a state transfer 13.
-inline constexpr int most_routers = 8192;
+inline constexpr int max_routers = 8192;
 
-enum class Phase : std::uint8_t { Here, Leaving, Gone };
-enum class Verdict : std::uint8_t { Alive, Suspected, Dead };
+enum class Phase : std::uint8_t { Present, Leaving, Gone };
+enum class Liveness : std::uint8_t { Alive, Suspected, Dead };
 
 struct MemberState {
-    Life life = 0;
-    Phase phase = Phase::Here;
+    Generation generation = 0;
+    Phase phase = Phase::Present;
     std::uint32_t incarnation = 0;
-    Verdict verdict = Verdict::Alive;
-    bool ill = false;  // it says that it answers, but does not get its lookups handled
+    Liveness liveness = Liveness::Alive;
+    bool unhealthy = false;  // it says that it answers, but does not get its lookups handled
     bool operator==(const MemberState&) const = default;
 };
 
 // What both accounts together say.
-inline MemberState join(const MemberState& one, const MemberState& other) {
-    if (one.life != other.life) return one.life > other.life ? one : other;
-    auto rank = [](const MemberState& s) { return std::tuple(s.incarnation, s.verdict, s.ill); };
+inline MemberState merge(const MemberState& one, const MemberState& other) {
+    if (one.generation != other.generation) return one.generation > other.generation ? one : other;
+    auto rank = [](const MemberState& s) { return std::tuple(s.incarnation, s.liveness, s.unhealthy); };
     auto joined = rank(one) >= rank(other) ? one : other;
-    joined.life = std::max(one.life, other.life);
+    joined.generation = std::max(one.generation, other.generation);
     // The two halves come from different speakers, so each is joined by itself.
     joined.phase = std::max(one.phase, other.phase);
     return joined;
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -48,7 +48,7 @@
     : number(start.self),
       zone(start.zone),
       rates(start.rates),
-      me{start.life, Phase::Here, 0, Verdict::Alive, false},
+      me{start.life, Phase::Present, 0, Liveness::Alive, false},
       members(static_cast<std::size_t>(start.routers)),
       probe_schedule(start.self, start.routers, start.rates.period),
       suspicions({start.rates.shortest, start.rates.longest, 2 * start.rates.period}),
@@ -76,25 +76,25 @@
 
 // ---- what comes
 
-void Membership::hear(Number from, std::string_view datagram, Micros now) {
+void Membership::hear(RouterIndex from, std::string_view datagram, Micros now) {
     arrive(now);
-    if (transfer) transfer->count(datagram.size(), now);
+    if (transfer) transfer->record_traffic(datagram.size(), now);
     if (from < 0) {
-        seen.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+        seen.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
     auto decoded = decode(datagram, routers(), now);
     if (!decoded.message) {
-        seen.dropped[static_cast<std::size_t>(decoded.why)]++;
+        seen.dropped[static_cast<std::size_t>(decoded.drop_reason)]++;
         return;
     }
     // Nobody may speak under another's number, nor under mine.
     if (decoded.message->from != from || decoded.message->from == number) {
-        seen.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+        seen.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
-    if (!rates.state_transfer && of_state_transfer(decoded.message->kind)) {
-        seen.dropped[static_cast<std::size_t>(Dropped::TransferOff)]++;
+    if (!rates.state_transfer && is_state_transfer(decoded.message->type)) {
+        seen.dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)]++;
         return;
     }
     seen.heard++;
@@ -125,111 +125,112 @@
 
 void Membership::take(const Message& message, Micros now) {
     auto& sender = at(message.from);
-    if (message.self.life < sender.member_state.life) {
+    if (message.sender_state.generation < sender.member_state.generation) {
         // An old life's datagram, still under way; or a new life whose clock was set back, which has to hear
         // it.
         Message heard;
-        heard.kind = Kind::Heard;
-        heard.probe = message.probe;
-        if (message.kind == Kind::Ping)
+        heard.type = MessageType::Ack;
+        heard.probe_id = message.probe_id;
+        if (message.type == MessageType::Ping)
             send(message.from, heard, SendPriority::Answer, now, {{message.from, sender.member_state}});
         return;
     }
     heard_any = now;
     sender.heard = now;
     if (message.zone >= 0) sender.zone = static_cast<std::int16_t>(message.zone);
-    take(Account{message.from, message.self}, message.from, now);
-    if (reachability.heard(message.from, now)) note_cut(message.from, number, false, message.from, now);
+    take(MemberRecord{message.from, message.sender_state}, message.from, now);
+    if (reachability.record_received(message.from, now))
+        note_cut(message.from, number, false, message.from, now);
 
     if (piggyback && !message.payload.empty())
-        piggyback->unload(message.from, message.self.life, message.payload, now);
-    for (auto& account : message.accounts) take(account, message.from, now);
+        piggyback->unload(message.from, message.sender_state.generation, message.payload, now);
+    for (auto& account : message.records) take(account, message.from, now);
     take_accusations(message, now);
     // Those of a digest are what its sender holds, no news: taken as news, a cut would never expire.
-    if (message.kind != Kind::Digest) take_link_reports(message, now);
+    if (message.type != MessageType::Digest) take_link_reports(message, now);
 
     take_by_kind(message, now);
 }
 
 void Membership::take_by_kind(const Message& message, Micros now) {
-    switch (message.kind) {
-        case Kind::Ping:
+    switch (message.type) {
+        case MessageType::Ping:
             return answer_ping(message, now);
-        case Kind::Heard:
+        case MessageType::Ack:
             return answered(message, now);
-        case Kind::Ask:
+        case MessageType::PingRequest:
             return probe_for_another(message, now);
-        case Kind::No:
+        case MessageType::Nack:
             for (auto& probe : probes)
-                if (probe.number == message.probe && probe.target == message.about) probe.noes++;
+                if (probe.number == message.probe_id && probe.target == message.target) probe.noes++;
             return;
-        case Kind::Digest:
+        case MessageType::Digest:
             return compare(message, now);
-        case Kind::News:
+        case MessageType::Gossip:
             return;
-        case Kind::RangeRequest:
+        case MessageType::RangeRequest:
             return answer_range_request(message, now);
-        case Kind::RangePage:
+        case MessageType::RangePage:
             return take_page(message, now);
     }
 }
 
-void Membership::take(const Account& account, Number by, Micros now, Spread spreading) {
-    if (account.who == number) return about_me(account.member_state);
-    auto& member = at(account.who);
-    auto joined = join(member.member_state, account.member_state);
+void Membership::take(const MemberRecord& account, RouterIndex by, Micros now, Spread spreading) {
+    if (account.member == number) return about_me(account.member_state);
+    auto& member = at(account.member);
+    auto joined = merge(member.member_state, account.member_state);
     if (joined == member.member_state) {
-        if (by == account.who || spreading == Spread::No) return;
+        if (by == account.member || spreading == Spread::No) return;
         if (account.member_state == joined)
-            gossip.heard_again(account.who);
+            gossip.heard_again(account.member);
         else
-            gossip.put_right(account.who);  // the teller is behind, and most likely others are
+            gossip.put_right(account.member);  // the teller is behind, and most likely others are
         return;
     }
     auto before = std::exchange(member.member_state, joined);
     member.changed = now;
-    if (before.ill != joined.ill && health_news.size() < most_changes)
-        health_news.push_back({account.who, joined.ill});
+    if (before.unhealthy != joined.unhealthy && health_news.size() < most_changes)
+        health_news.push_back({account.member, joined.unhealthy});
     std::vector<LinkReport> ended_cuts;
-    if (before.life != joined.life) ended_cuts = reachability.forget(account.who);
-    if (joined.verdict != Verdict::Suspected || before.life != joined.life ||
+    if (before.generation != joined.generation) ended_cuts = reachability.forget(account.member);
+    if (joined.liveness != Liveness::Suspected || before.generation != joined.generation ||
         before.incarnation != joined.incarnation)
-        suspicions.acquit(account.who);
+        suspicions.acquit(account.member);
     // Who accuses follows in the same datagram; a teller alone is no accuser.
-    if (joined.verdict == Verdict::Suspected && !suspicions.find(account.who))
-        suspicions.accuse(account.who, -1, 0, now);
-    if (spreading == Spread::Yes) spread(account.who, before.life != 0);
-    note(account.who, by, now);
+    if (joined.liveness == Liveness::Suspected && !suspicions.find(account.member))
+        suspicions.accuse(account.member, -1, 0, now);
+    if (spreading == Spread::Yes) spread(account.member, before.generation != 0);
+    note(account.member, by, now);
     note_ended_cuts(ended_cuts, by, now);
 }
 
 // An accusation goes with an account in the same datagram, and counts where that is what is known here too.
 void Membership::take_accusations(const Message& message, Micros now) {
-    for (auto& one : message.accusations) {
-        auto about = std::find_if(message.accounts.begin(), message.accounts.end(),
-                                  [&](auto& account) { return account.who == one.accused; });
-        if (one.accused == number || about == message.accounts.end()) continue;
-        auto& known = at(one.accused).member_state;
-        if (known == about->member_state && known.verdict == Verdict::Suspected)
-            accuse(one.accused, one.accuser, one.age, now);
+    for (auto& one : message.suspicions) {
+        auto about = std::find_if(message.records.begin(), message.records.end(),
+                                  [&](auto& account) { return account.member == one.suspect; });
+        if (one.suspect == number || about == message.records.end()) continue;
+        auto& known = at(one.suspect).member_state;
+        if (known == about->member_state && known.liveness == Liveness::Suspected)
+            accuse(one.suspect, one.reporter, one.age, now);
     }
 }
 
 void Membership::take_link_reports(const Message& message, Micros now) {
     for (auto& report : message.link_reports)
-        if (reachability.told(report, at(report.listener).member_state.life, now))
-            note_cut(report.speaker, report.listener, report.cut, message.from, now);
+        if (reachability.merge_report(report, at(report.receiver).member_state.generation, now))
+            note_cut(report.sender, report.receiver, report.down, message.from, now);
 }
 
 // What others say of this router. A new word of its own answers an accusation; a new life whatever this life
 // can't have said: another life, an end, an incarnation beyond all.
 void Membership::about_me(const MemberState& told) {
-    if (told.life < me.life) return;
-    if (told.life > me.life || (told.phase > me.phase) || told.incarnation >= most_incarnation) {
-        me.life = std::max(me.life, told.life);
+    if (told.generation < me.generation) return;
+    if (told.generation > me.generation || (told.phase > me.phase) || told.incarnation >= most_incarnation) {
+        me.generation = std::max(me.generation, told.generation);
         return new_life();
     }
-    bool accused = told.incarnation == me.incarnation && told.verdict != Verdict::Alive;
+    bool accused = told.incarnation == me.incarnation && told.liveness != Liveness::Alive;
     if (told.incarnation <= me.incarnation && !accused) return;
     me.incarnation = told.incarnation;
     seen.refuted++;
@@ -238,7 +239,7 @@
 }
 
 void Membership::new_life() {
-    me.life++;
+    me.generation++;
     me.incarnation = 0;
     at(number).member_state = me;
     spread(number, true);
@@ -279,14 +280,14 @@
     for (auto& one : probes) at = std::min(at, one.passed_on ? one.end : std::min(one.step_at, one.end));
     for (auto& one : indirect_probes)
         if (!one.said_no) at = std::min(at, one.say_no_at);
-    if (transfer) at = std::min(at, transfer->due());
+    if (transfer) at = std::min(at, transfer->next_check());
     return at;
 }
 
 // ---- what the router says of itself
 
 void Membership::leave(Micros now) {
-    if (me.phase != Phase::Here) return;
+    if (me.phase != Phase::Present) return;
     me.phase = Phase::Leaving;
     say_anew(true);
     tell_some(4, now);
@@ -300,26 +301,26 @@
 }
 
 void Membership::ill(bool yes) {
-    if (me.ill == yes) return;
-    me.ill = yes;
+    if (me.unhealthy == yes) return;
+    me.unhealthy = yes;
     say_anew(true);
 }
 
 // ---- what others ask
 
-State Membership::state(Number who) const { return at(who).state; }
+State Membership::state(RouterIndex who) const { return at(who).state; }
 
-View Membership::view(Number who, Micros now) const {
+View Membership::view(RouterIndex who, Micros now) const {
     auto& member = at(who);
     View view;
     view.state = member.state;
     view.since = member.since;
-    view.ill = member.member_state.ill;
+    view.ill = member.member_state.unhealthy;
     view.zone = member.zone;
     view.member_state = member.member_state;
     view.heard = member.heard;
-    view.hears_me = !reachability.cut(number, who);
-    view.is_heard = !reachability.cut(who, number);
+    view.hears_me = !reachability.is_down(number, who);
+    view.is_heard = !reachability.is_down(who, number);
     // As long as somebody is heard, no news of a router is news; alone, all that is known grows old.
     auto alone =
         static_cast<double>(now - std::max(heard_any, member.heard)) / static_cast<double>(rates.longest);
@@ -357,7 +358,7 @@
 }
 
 std::size_t Membership::bytes_held() const {
-    auto one = sizeof(Member) + sizeof(std::uint16_t) + sizeof(Number) + 8;
+    auto one = sizeof(Member) + sizeof(std::uint16_t) + sizeof(RouterIndex) + 8;
     return sizeof *this + members.size() * one + suspicions.all().size() * (sizeof(Suspicion) + 64) +
            (transfer ? transfer->bytes_held() : 0);
 }
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -59,10 +59,10 @@
 };
 
 struct Start {
-    Number self = 0;
+    RouterIndex self = 0;
     int routers = 1;
     int zone = -1;
-    Life life = 1;
+    Generation life = 1;
     std::uint64_t seed = 1;
     Micros now = 0;
     Rates rates{};
@@ -80,12 +80,12 @@
 const char* name_of(State state);
 
 struct Change {
-    Number who;
+    RouterIndex who;
     State before, after;
     Micros at;
     MemberState member_state;
-    Number by;  // the accuser, helper or teller that made it so; `who` itself where it was heard; -1: a time
-                // ran out
+    RouterIndex by;  // the accuser, helper or teller that made it so; `who` itself where it was heard; -1: a
+                     // time ran out
 };
 
 struct View {
@@ -100,7 +100,7 @@
 };
 
 struct Health {
-    Number who;
+    RouterIndex who;
     bool ill;
 };
 
@@ -111,7 +111,7 @@
 };
 
 struct Outgoing {
-    Number to;
+    RouterIndex to;
     std::string bytes;
 };
 
@@ -120,15 +120,15 @@
 public:
     virtual ~Piggyback() = default;
     // At most `room` bytes for `to`, which are then sent once; empty: nothing.
-    virtual std::string load(Number to, std::size_t room, Micros now) = 0;
+    virtual std::string load(RouterIndex to, std::size_t room, Micros now) = 0;
     // What rode along and has come, before what it came with is answered. `life` is the sender's.
-    virtual void unload(Number from, Life life, std::string_view bytes, Micros now) = 0;
+    virtual void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) = 0;
 };
 
 struct Figures {
     std::uint64_t payload_bytes = 0;
     std::uint64_t sent = 0, bytes_sent = 0, heard = 0, held_back = 0, away = 0, refuted = 0, accused = 0;
-    std::array<std::uint64_t, static_cast<std::size_t>(Dropped::Last)> dropped{};
+    std::array<std::uint64_t, static_cast<std::size_t>(DropReason::Count)> dropped{};
     // Of state transfer.
     std::uint64_t range_requests = 0, pages_taken = 0, pages_unasked = 0, pages_sent = 0, requests_shed = 0;
 };
@@ -138,7 +138,7 @@
     explicit Membership(const Start& start);
 
     // A datagram from the address of router `from` in the list; -1: from an address that is not in it.
-    void hear(Number from, std::string_view datagram, Micros now);
+    void hear(RouterIndex from, std::string_view datagram, Micros now);
     void pass(Micros now);   // what is due
     Micros due() const;      // when it wants to be called again at the latest
     void leave(Micros now);  // SIGTERM: from now on it says that it leaves
@@ -160,19 +160,19 @@
     // `in_zone` where that is not -1. False where the bytes for that are used up. Urgent ones may take what
     // answers may.
     bool tell(std::size_t most, int in_zone, bool urgent, Micros now);
-    bool tell(Number to, bool urgent, Micros now);
+    bool tell(RouterIndex to, bool urgent, Micros now);
     // The same to one, and where the bytes for it are not there they are saved up.
-    bool insist(Number to, Micros now) { return !(piggyback_waits = !tell(to, true, now)); }
+    bool insist(RouterIndex to, Micros now) { return !(piggyback_waits = !tell(to, true, now)); }
     // Bytes that may be sent for the passenger's sake now.
     double spare(Micros now);
 
-    View view(Number who, Micros now) const;
-    State state(Number who) const;
-    int zone_of(Number who) const { return at(who).zone; }  // -1: not heard yet
+    View view(RouterIndex who, Micros now) const;
+    State state(RouterIndex who) const;
+    int zone_of(RouterIndex who) const { return at(who).zone; }  // -1: not heard yet
     int own_zone() const { return zone; }
-    Number number_of_self() const { return number; }
+    RouterIndex number_of_self() const { return number; }
     Counts counts() const;
-    std::vector<LinkReport> cuts() const { return reachability.cuts(); }
+    std::vector<LinkReport> cuts() const { return reachability.down_links(); }
     const MemberState& self() const { return me; }
     const Figures& figures() const { return seen; }
     int routers() const { return static_cast<int>(members.size()); }
@@ -192,17 +192,17 @@
     };
     struct Probe {
         std::uint32_t number;
-        Number target;
+        RouterIndex target;
         Micros sent, step_at;
         Micros asks_end;  // from then on nobody is asked any more, and only answers are waited for
         Micros end;
         bool starved = false, passed_on = false;
         int steps = 0, helpers = 0, noes = 0;
-        Number helper = -1;
+        RouterIndex helper = -1;
     };
     struct IndirectProbe {  // a probe for somebody else
         std::uint32_t number;
-        Number asker, target;
+        RouterIndex asker, target;
         Micros say_no_at, end;
         bool said_no = false;
     };
@@ -216,26 +216,26 @@
     void take(const Message& message, Micros now);
     // Whether what is new here is told to others by gossip.
     enum class Spread { Yes, No };
-    void take(const Account& account, Number by, Micros now, Spread spreading = Spread::Yes);
+    void take(const MemberRecord& account, RouterIndex by, Micros now, Spread spreading = Spread::Yes);
     void take_by_kind(const Message& message, Micros now);
     void take_accusations(const Message& message, Micros now);
     void take_link_reports(const Message& message, Micros now);
     void about_me(const MemberState& told);
-    void accuse(Number who, Number accuser, Micros age, Micros now);
+    void accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now);
     void judge(Micros now);
-    bool make_last_call(Number who, Micros now);
+    bool make_last_call(RouterIndex who, Micros now);
     bool asks_accused();
-    void note(Number who, Number by, Micros now);
-    void note_cut(Number speaker, Number listener, bool cut, Number by, Micros now);
-    void note_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now);
-    State worked_out(Number who) const;
+    void note(RouterIndex who, RouterIndex by, Micros now);
+    void note_cut(RouterIndex speaker, RouterIndex listener, bool cut, RouterIndex by, Micros now);
+    void note_ended_cuts(const std::vector<LinkReport>& ended_cuts, RouterIndex by, Micros now);
+    State worked_out(RouterIndex who) const;
     void new_life();
     void say_anew(bool urgent);
-    void spread(Number who, bool urgent);
+    void spread(RouterIndex who, bool urgent);
     void pass_on(Micros now);
     void tell_some(std::size_t many, Micros now);
 
-    std::vector<Account> corrections_to(const Message& ping) const;
+    std::vector<MemberRecord> corrections_to(const Message& ping) const;
     void answer_ping(const Message& ping, Micros now);
     void answered(const Message& heard, Micros now);
     void pass_answer_on(const Message& heard, Micros now);
@@ -243,43 +243,44 @@
     void compare(const Message& digest, Micros now);
     bool knows_all(Micros now) const;
     bool leaves_gossip_to_others() const;
-    void fetch_blocks(const std::vector<Number>& starts, Number from, Micros now);
+    void fetch_blocks(const std::vector<RouterIndex>& starts, RouterIndex from, Micros now);
     void ask_for_ranges(Micros now);
-    HelperRank rank_as_helper(Number who) const;
+    HelperRank rank_as_helper(RouterIndex who) const;
     void take_page(const Message& message, Micros now);
-    bool worsens(const Account& account) const;
+    bool worsens(const MemberRecord& account) const;
     void answer_range_request(const Message& request, Micros now);
-    Message page_from(Number first, Number end, Micros now) const;
-    bool send_as_helper(Number to, const Message& message, Micros now);
-    void say_busy(Number to, Micros now);
-    bool send_alone(Number to, Message message, SendPriority priority, Micros now);
-    void hand_out(Number to, std::string bytes, Micros now);
+    Message page_from(RouterIndex first, RouterIndex end, Micros now) const;
+    bool send_as_helper(RouterIndex to, const Message& message, Micros now);
+    void say_busy(RouterIndex to, Micros now);
+    bool send_alone(RouterIndex to, Message message, SendPriority priority, Micros now);
+    void hand_out(RouterIndex to, std::string bytes, Micros now);
     double bytes_left(Micros now);
     void spend(std::size_t bytes);
 
     void probe_in_slot(Micros now);
     void step_probes(Micros now);
     void say_no_to_askers(Micros now);
-    void probe(Number target, Micros now);
-    bool awaits_account(Number who) const;
-    bool thought_there(Number who) const;
+    void probe(RouterIndex target, Micros now);
+    bool awaits_account(RouterIndex who) const;
+    bool thought_there(RouterIndex who) const;
     void step(Probe& probe, Micros now);
     void end_probe(const Probe& probe, Micros now);
     Micros time_through_helper(Micros now);
     void look_again(Micros now);
     void send_digest(Micros now);
-    std::vector<Number> pick(std::size_t most, Number but, int in_zone = -1);
-    bool send(Number to, Message message, SendPriority priority, Micros now,
-              const std::vector<Account>& first = {}, bool for_piggyback = false);
-    void add_news(Number to, Message& message, const std::vector<Account>& first, double left, Micros now);
-    void add_accusation_of_receiver(Number to, Message& message, Micros now);
+    std::vector<RouterIndex> pick(std::size_t most, RouterIndex but, int in_zone = -1);
+    bool send(RouterIndex to, Message message, SendPriority priority, Micros now,
+              const std::vector<MemberRecord>& first = {}, bool for_piggyback = false);
+    void add_news(RouterIndex to, Message& message, const std::vector<MemberRecord>& first, double left,
+                  Micros now);
+    void add_accusation_of_receiver(RouterIndex to, Message& message, Micros now);
     void add_gossip(Message& message, double room, Micros now);
-    bool add_account(Number who, Message& message, double room, Micros now) const;
-    void load_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now);
-    Member& at(Number who) { return members[static_cast<std::size_t>(who)]; }
-    const Member& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
+    bool add_account(RouterIndex who, Message& message, double room, Micros now) const;
+    void load_payload(RouterIndex to, Message& message, std::string& bytes, double bytes_free, Micros now);
+    Member& at(RouterIndex who) { return members[static_cast<std::size_t>(who)]; }
+    const Member& at(RouterIndex who) const { return members[static_cast<std::size_t>(who)]; }
 
-    Number number;
+    RouterIndex number;
     int zone;
     Rates rates;
     MemberState me;
@@ -289,10 +290,10 @@
     Reachability reachability;
     GossipQueue gossip;
     LocalHealth local_health;
-    RoundTrips round_trips;
+    RoundTripEstimator round_trips;
     ByteBudget byte_budget;
     std::optional<StateTransfer> transfer;  // only with Rates::state_transfer, as the next
-    std::optional<PageServer> page_server;
+    std::optional<PageSendBudget> page_server;
     boost::random::taus88 chance;
     std::vector<Probe> probes;
     std::vector<IndirectProbe> indirect_probes;
@@ -306,9 +307,9 @@
     std::uint32_t next_probe = 1;
     std::int64_t last_slot = -1;
     Micros digest_at = 0, look_again_at = 0, expire_at = 0, heard_any = 0;
-    int unlike = 0;      // digests to send soon, since the last found differences or I am new
-    Number window = 0;   // where the next digest starts
-    bool fresh = false;  // urgent news that nobody was told yet
+    int unlike = 0;          // digests to send soon, since the last found differences or I am new
+    RouterIndex window = 0;  // where the next digest starts
+    bool fresh = false;      // urgent news that nobody was told yet
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -40,28 +40,29 @@
     }
 }
 
-void Membership::probe(Number target, Micros now) {
+void Membership::probe(RouterIndex target, Micros now) {
     if (probes.size() >= most_probes) return;
     Message ping;
-    ping.kind = Kind::Ping;
-    ping.probe = next_probe;
+    ping.type = MessageType::Ping;
+    ping.probe_id = next_probe;
     next_probe = next_probe % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
     auto wait = rates.period * local_health.stretch();
-    probes.push_back({ping.probe, target, now, now + rates.period / 6, now + wait, now + wait});
+    probes.push_back({ping.probe_id, target, now, now + rates.period / 6, now + wait, now + wait});
     // Where one direction is known to be cut, helpers are asked at once, and the ping only tells whether it
     // still is.
-    if (reachability.cut(number, target) || reachability.cut(target, number)) step(probes.back(), now);
+    if (reachability.is_down(number, target) || reachability.is_down(target, number))
+        step(probes.back(), now);
 }
 
 // While all accounts are fetched, those of whom there is none yet are not probed: the answers, full of news,
 // would take the bytes of pages.
-bool Membership::awaits_account(Number who) const {
+bool Membership::awaits_account(RouterIndex who) const {
     return transferring() && at(who).state == State::Unknown;
 }
 
 // Whether it is worth more than one ping, and an accusation: it is not given up, nor has it gone.
-bool Membership::thought_there(Number who) const {
+bool Membership::thought_there(RouterIndex who) const {
     auto state = at(who).state;
     return state == State::Alive || state == State::Suspected || state == State::Silent ||
            state == State::Leaving;
@@ -78,22 +79,22 @@
     bool said = suspicion && !suspicion->ask_first &&
                 std::count(suspicion->accusers.begin(), suspicion->accusers.end(), number);
     if (!thought_there(probe.target) || said) return;
-    bool cut = reachability.cut(number, probe.target) || reachability.cut(probe.target, number);
+    bool cut = reachability.is_down(number, probe.target) || reachability.is_down(probe.target, number);
     if (cut) {
         step_after(rates.period / 3 * local_health.stretch());
         probe.steps++;
     } else {
         Message ping;
-        ping.kind = Kind::Ping;
-        ping.probe = probe.number;
+        ping.type = MessageType::Ping;
+        ping.probe_id = probe.number;
         probe.starved |= !send(probe.target, ping, SendPriority::Insist, now);
     }
     if (probe.steps++ == 0) return;
     for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : rates.helpers), probe.target)) {
         Message ask;
-        ask.kind = Kind::Ask;
-        ask.probe = probe.number;
-        ask.about = probe.target;
+        ask.type = MessageType::PingRequest;
+        ask.probe_id = probe.number;
+        ask.target = probe.target;
         // Those asked later have no time to say no.
         bool sent = send(helper, ask, SendPriority::Insist, now);
         probe.starved |= !sent;
@@ -104,18 +105,18 @@
 
 // Guards against accusations of routers that only others can reach, in a tier whose routers are far apart:
 // the answer to an indirect probe takes longer there than a period.
-Micros Membership::time_through_helper(Micros now) { return 2 * round_trips.longest(now); }
+Micros Membership::time_through_helper(Micros now) { return 2 * round_trips.max_round_trip(now); }
 
 // Up to `most` that are alive here, can be talked with both ways, and can talk with `but` as far as is known,
 // drawn at random, of as many zones as can be.
-std::vector<Number> Membership::pick(std::size_t most, Number but, int in_zone) {
-    std::vector<Number> able;
-    for (Number who = 0; who < routers(); who++)
-        if (who != number && who != but && at(who).state == State::Alive && !reachability.cut(number, who) &&
-            (in_zone < 0 || at(who).zone == in_zone) &&
-            (but < 0 || (!reachability.cut(who, but) && !reachability.cut(but, who))))
+std::vector<RouterIndex> Membership::pick(std::size_t most, RouterIndex but, int in_zone) {
+    std::vector<RouterIndex> able;
+    for (RouterIndex who = 0; who < routers(); who++)
+        if (who != number && who != but && at(who).state == State::Alive &&
+            !reachability.is_down(number, who) && (in_zone < 0 || at(who).zone == in_zone) &&
+            (but < 0 || (!reachability.is_down(who, but) && !reachability.is_down(but, who))))
             able.push_back(who);
-    std::vector<Number> picked;
+    std::vector<RouterIndex> picked;
     std::vector<int> zones;
     for (std::size_t i = 0; i < able.size() && picked.size() < most && i < 8 * most; i++) {
         boost::random::uniform_int_distribution<std::size_t> draw(i, able.size() - 1);
@@ -135,7 +136,7 @@
     if (target.heard >= probe.sent && !probe.passed_on) return;  // whatever came of it, it is there
     if (probe.passed_on) {
         // Others hear it. Which direction is cut it tells itself, or it is this one.
-        if (target.heard < probe.sent && reachability.missed(probe.target, now))
+        if (target.heard < probe.sent && reachability.record_missed(probe.target, now))
             note_cut(probe.target, number, true, probe.helper, now);
         return;
     }
@@ -143,14 +144,14 @@
     if (!thought_there(probe.target) || probe.starved) return;
     // Who is known to be cut off from it one way is no witness: others judge. The fact ends by itself after a
     // minute without a sign of it.
-    if (reachability.cut(number, probe.target) || reachability.cut(probe.target, number)) return;
+    if (reachability.is_down(number, probe.target) || reachability.is_down(probe.target, number)) return;
     // A helper that says no shows that this router is heard; those that say nothing put itself in doubt.
     if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.worse();
     seen.accused++;
     accuse(probe.target, number, 0, now);
     // The accused hears it first, so that it can answer before many have to be told otherwise.
     Message news;
-    news.kind = Kind::News;
+    news.type = MessageType::Gossip;
     send(probe.target, news, SendPriority::Answer, now);
 }
 
@@ -159,7 +160,7 @@
 // is to answer.
 void Membership::look_again(Micros now) {
     int asked = 0;
-    auto again = [&](Number who) {
+    auto again = [&](RouterIndex who) {
         bool under_way = std::any_of(probes.begin(), probes.end(), [&](auto& p) { return p.target == who; });
         if (asked >= most_again || under_way) return;
         asked++;
@@ -167,49 +168,49 @@
     };
     for (auto& [who, one] : suspicions.all())
         if (one.ask_first || std::count(one.accusers.begin(), one.accusers.end(), number)) again(who);
-    for (Number step = 0; step < routers() && asked < most_again; step++) {
+    for (RouterIndex step = 0; step < routers() && asked < most_again; step++) {
         auto who = (number + 1 + step) % routers();
-        if (who != number && reachability.doubtful(who)) again(who);
+        if (who != number && reachability.needs_another_probe(who)) again(who);
     }
 }
 
 // What the asking one holds and is out of date.
-std::vector<Account> Membership::corrections_to(const Message& ping) const {
-    std::vector<Account> corrections;
-    for (auto& account : ping.accounts) {
-        auto& known = at(account.who).member_state;
-        bool differs = account.who != number && !(known == account.member_state);
-        if (differs && corrections.size() < most_corrections) corrections.push_back({account.who, known});
+std::vector<MemberRecord> Membership::corrections_to(const Message& ping) const {
+    std::vector<MemberRecord> corrections;
+    for (auto& account : ping.records) {
+        auto& known = at(account.member).member_state;
+        bool differs = account.member != number && !(known == account.member_state);
+        if (differs && corrections.size() < most_corrections) corrections.push_back({account.member, known});
     }
     return corrections;
 }
 
 void Membership::answer_ping(const Message& ping, Micros now) {
     Message heard;
-    heard.kind = Kind::Heard;
-    heard.probe = ping.probe;
-    if (ping.about < 0 || ping.about == number) {
+    heard.type = MessageType::Ack;
+    heard.probe_id = ping.probe_id;
+    if (ping.target < 0 || ping.target == number) {
         send(ping.from, heard, SendPriority::Answer, now, corrections_to(ping));
         return;
     }
     // For somebody whose own ping should have come as well. Back through the helper, and straight: so both
     // ends learn which directions are whole.
-    heard.about = ping.about;
-    heard.direct = at(ping.about).heard > now - rates.period * 4;
+    heard.target = ping.target;
+    heard.direct_ping_received = at(ping.target).heard > now - rates.period * 4;
     send(ping.from, heard, SendPriority::Answer, now);
-    if (!heard.direct && reachability.missed(ping.about, now))
-        note_cut(ping.about, number, true, ping.from, now);
-    heard.about = -1;
-    send(ping.about, heard, SendPriority::Answer, now);
+    if (!heard.direct_ping_received && reachability.record_missed(ping.target, now))
+        note_cut(ping.target, number, true, ping.from, now);
+    heard.target = -1;
+    send(ping.target, heard, SendPriority::Answer, now);
 }
 
 void Membership::answered(const Message& heard, Micros now) {
-    if (heard.about >= 0 && heard.about != number) return pass_answer_on(heard, now);
+    if (heard.target >= 0 && heard.target != number) return pass_answer_on(heard, now);
     for (std::size_t i = 0; i < probes.size(); i++) {
         auto& probe = probes[i];
-        if (probe.number != heard.probe) continue;
+        if (probe.number != heard.probe_id) continue;
         if (heard.from == probe.target) {
-            round_trips.measured(now - probe.sent, now);
+            round_trips.record(now - probe.sent, now);
             if (probe.steps == 0) local_health.better();
             if (probe.steps > 1 && probe.noes < probe.helpers) local_health.worse();
             suspicions.asked(probe.target);
@@ -224,12 +225,12 @@
 
 void Membership::pass_answer_on(const Message& heard, Micros now) {
     for (auto& one : indirect_probes) {
-        if (one.number != heard.probe || one.target != heard.from || one.asker != heard.about) continue;
+        if (one.number != heard.probe_id || one.target != heard.from || one.asker != heard.target) continue;
         Message passed;
-        passed.kind = Kind::Heard;
-        passed.probe = heard.probe;
-        passed.about = heard.about;
-        passed.direct = heard.direct;
+        passed.type = MessageType::Ack;
+        passed.probe_id = heard.probe_id;
+        passed.target = heard.target;
+        passed.direct_ping_received = heard.direct_ping_received;
         send(one.asker, passed, SendPriority::IndirectProbe, now);
         one.end = now;
         one.said_no = true;
@@ -238,24 +239,24 @@
 }
 
 void Membership::probe_for_another(const Message& ask, Micros now) {
-    if (ask.about == number || ask.about == ask.from || indirect_probes.size() >= most_indirect_probes)
+    if (ask.target == number || ask.target == ask.from || indirect_probes.size() >= most_indirect_probes)
         return;
     Message ping;
-    ping.kind = Kind::Ping;
-    ping.probe = ask.probe;
-    ping.about = ask.from;
-    if (!send(ask.about, ping, SendPriority::IndirectProbe, now)) return;
+    ping.type = MessageType::Ping;
+    ping.probe_id = ask.probe_id;
+    ping.target = ask.from;
+    if (!send(ask.target, ping, SendPriority::IndirectProbe, now)) return;
     indirect_probes.push_back(
-        {ask.probe, ask.from, ask.about, now + rates.period / 6, now + rates.period * 4});
+        {ask.probe_id, ask.from, ask.target, now + rates.period / 6, now + rates.period * 4});
 }
 
 void Membership::say_no_to_askers(Micros now) {
     for (auto& one : indirect_probes) {
         if (one.said_no || now < one.say_no_at) continue;
         Message no;
-        no.kind = Kind::No;
-        no.probe = one.number;
-        no.about = one.target;
+        no.type = MessageType::Nack;
+        no.probe_id = one.number;
+        no.target = one.target;
         send(one.asker, no, SendPriority::IndirectProbe, now);
         one.said_no = true;
     }
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -20,23 +20,23 @@
 constexpr std::size_t account_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tags = 18;
 
 std::size_t news_bytes(const Message& message) {
-    return tags + message.accounts.size() * account_bytes + message.accusations.size() * accuser_bytes +
+    return tags + message.records.size() * account_bytes + message.suspicions.size() * accuser_bytes +
            message.link_reports.size() * link_report_bytes;
 }
 
 // What was not told after all is dropped, the last first, until the datagram is short enough.
 std::string encode_within_limit(Message& message) {
     auto bytes = encode(message);
-    while (bytes.size() > longest) {
-        if (!message.accounts.empty())
-            message.accounts.pop_back();
+    while (bytes.size() > max_datagram_bytes) {
+        if (!message.records.empty())
+            message.records.pop_back();
         else if (!message.link_reports.empty())
             message.link_reports.pop_back();
         else
             message.hashes.pop_back();
-        std::erase_if(message.accusations, [&](auto& one) {
-            return std::none_of(message.accounts.begin(), message.accounts.end(),
-                                [&](auto& account) { return account.who == one.accused; });
+        std::erase_if(message.suspicions, [&](auto& one) {
+            return std::none_of(message.records.begin(), message.records.end(),
+                                [&](auto& account) { return account.member == one.suspect; });
         });
         bytes = encode(message);
     }
@@ -63,7 +63,7 @@
     return 0.7;
 }
 
-void Membership::spread(Number who, bool urgent) {
+void Membership::spread(RouterIndex who, bool urgent) {
     gossip.news(who, urgent);
     fresh |= urgent;
 }
@@ -80,13 +80,13 @@
 void Membership::tell_some(std::size_t many, Micros now) {
     for (auto who : pick(many, -1)) {
         Message news;
-        news.kind = Kind::News;
+        news.type = MessageType::Gossip;
         send(who, news, SendPriority::Answer, now);
     }
 }
 
-bool Membership::send(Number to, Message message, SendPriority priority, Micros now,
-                      const std::vector<Account>& first, bool for_piggyback) {
+bool Membership::send(RouterIndex to, Message message, SendPriority priority, Micros now,
+                      const std::vector<MemberRecord>& first, bool for_piggyback) {
     auto left = bytes_left(now) / rates.bytes_per_s;
     // Guards against probes that use up all bytes where nobody is heard, so that others never hear what this
     // router alone was told.
@@ -98,7 +98,7 @@
         return false;
     }
     message.from = number;
-    message.self = me;
+    message.sender_state = me;
     message.zone = zone;
     add_news(to, message, first, left, now);
     auto bytes = encode_within_limit(message);
@@ -112,34 +112,34 @@
 }
 
 // What is left of the datagram carries news: first what is held against the receiver, so that it can answer.
-void Membership::add_news(Number to, Message& message, const std::vector<Account>& first, double left,
-                          Micros now) {
+void Membership::add_news(RouterIndex to, Message& message, const std::vector<MemberRecord>& first,
+                          double left, Micros now) {
     auto base = encode(message).size();
     // A third of what is saved goes into one datagram.
     auto spare_bytes = std::max(0.0, (left - kept_back(SendPriority::News)) * rates.bytes_per_s / 3);
-    auto room = std::min(static_cast<double>(longest) - static_cast<double>(base), spare_bytes);
-    if (base + accusation_bytes <= longest) add_accusation_of_receiver(to, message, now);
+    auto room = std::min(static_cast<double>(max_datagram_bytes) - static_cast<double>(base), spare_bytes);
+    if (base + accusation_bytes <= max_datagram_bytes) add_accusation_of_receiver(to, message, now);
     bool forced = !first.empty() && first.size() <= most_forced;
-    for (auto& one : first) add_account(one.who, message, forced ? unbounded : room, now);
+    for (auto& one : first) add_account(one.member, message, forced ? unbounded : room, now);
     if (first.empty() && !leaves_gossip_to_others()) add_gossip(message, room, now);
 }
 
 // Guards against a router that never hears what it is accused of: this comes whatever it costs.
-void Membership::add_accusation_of_receiver(Number to, Message& message, Micros now) {
+void Membership::add_accusation_of_receiver(RouterIndex to, Message& message, Micros now) {
     auto& member_state = at(to).member_state;
-    if (member_state.life == 0 || member_state.verdict == Verdict::Alive) return;
-    message.accounts.push_back({to, member_state});
+    if (member_state.generation == 0 || member_state.liveness == Liveness::Alive) return;
+    message.records.push_back({to, member_state});
     auto* suspicion = suspicions.find(to);
     if (suspicion && !suspicion->accusers.empty())
-        message.accusations.push_back({to, suspicion->accusers.front(), now - suspicion->since});
+        message.suspicions.push_back({to, suspicion->accusers.front(), now - suspicion->since});
 }
 
 void Membership::add_gossip(Message& message, double room, Micros now) {
     auto spare = room - tags;
     if (spare <= link_report_bytes) return;
-    if (message.kind != Kind::Digest && message.link_reports.empty())
-        message.link_reports = reachability.to_tell(
-            std::min(most_link_reports, static_cast<std::size_t>(spare / link_report_bytes)), gossip.most());
+    if (message.type != MessageType::Digest && message.link_reports.empty())
+        message.link_reports = reachability.next_reports(
+            std::min(max_link_reports, static_cast<std::size_t>(spare / link_report_bytes)), gossip.most());
     auto after_reports = spare - static_cast<double>(message.link_reports.size() * link_report_bytes);
     auto places = static_cast<std::size_t>(std::max(0.0, after_reports) / account_bytes);
     for (auto who : gossip.next(places))
@@ -147,43 +147,43 @@
 }
 
 // With who accuses it, where it is suspected. False where `room` has no bytes for it.
-bool Membership::add_account(Number who, Message& message, double room, Micros now) const {
+bool Membership::add_account(RouterIndex who, Message& message, double room, Micros now) const {
     auto& member_state = at(who).member_state;
-    if (member_state.life == 0 || who == number) return true;
-    bool there = std::any_of(message.accounts.begin(), message.accounts.end(),
-                             [&](auto& one) { return one.who == who; });
+    if (member_state.generation == 0 || who == number) return true;
+    bool there = std::any_of(message.records.begin(), message.records.end(),
+                             [&](auto& one) { return one.member == who; });
     if (there) return true;
     if (static_cast<double>(news_bytes(message) + account_bytes) > room) return false;
-    message.accounts.push_back({who, member_state});
+    message.records.push_back({who, member_state});
     auto* suspicion = suspicions.find(who);
-    if (member_state.verdict != Verdict::Suspected || !suspicion) return true;
+    if (member_state.liveness != Liveness::Suspected || !suspicion) return true;
     for (auto accuser : suspicion->accusers)
-        message.accusations.push_back({who, accuser, now - suspicion->since});
+        message.suspicions.push_back({who, accuser, now - suspicion->since});
     return true;
 }
 
 // At most `bytes_free` of payload, where that is enough to be worth a load. `bytes`: the message so far.
-void Membership::load_payload(Number to, Message& message, std::string& bytes, double bytes_free,
+void Membership::load_payload(RouterIndex to, Message& message, std::string& bytes, double bytes_free,
                               Micros now) {
-    if (bytes.size() + payload_tag + least_payload > longest) return;
+    if (bytes.size() + payload_tag + least_payload > max_datagram_bytes) return;
     auto spare = std::max(0.0, bytes_free - static_cast<double>(bytes.size()));
-    auto free = std::min(longest - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
+    auto free = std::min(max_datagram_bytes - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
     if (free >= least_payload) message.payload = piggyback->load(to, free, now);
     if (message.payload.size() > free) message.payload.clear();
     seen.payload_bytes += message.payload.size();
     if (!message.payload.empty()) bytes = encode(message);
 }
 
-void Membership::hand_out(Number to, std::string bytes, Micros now) {
+void Membership::hand_out(RouterIndex to, std::string bytes, Micros now) {
     seen.sent++;
     seen.bytes_sent += bytes.size();
-    if (transfer) transfer->count(bytes.size(), now);
+    if (transfer) transfer->record_traffic(bytes.size(), now);
     out.push_back({to, std::move(bytes)});
 }
 
-bool Membership::tell(Number to, bool urgent, Micros now) {
+bool Membership::tell(RouterIndex to, bool urgent, Micros now) {
     Message news;
-    news.kind = Kind::News;
+    news.type = MessageType::Gossip;
     auto need = urgent ? SendPriority::IndirectProbe : SendPriority::Spare;
     // Guards against datagrams that have no room for what they are sent for.
     bool enough = bytes_left(now) - kept_back(need) * rates.bytes_per_s >= own_datagram;
@@ -194,9 +194,9 @@
 bool Membership::tell(std::size_t most, int in_zone, bool urgent, Micros now) {
     auto to = pick(most, -1, in_zone);
     // Who hears nobody may still be heard: it speaks to those that were there last.
-    for (Number step = 1; to.empty() && step < routers(); step++) {
-        auto who =
-            (number + static_cast<Number>(chance() % static_cast<unsigned>(routers())) + step) % routers();
+    for (RouterIndex step = 1; to.empty() && step < routers(); step++) {
+        auto who = (number + static_cast<RouterIndex>(chance() % static_cast<unsigned>(routers())) + step) %
+                   routers();
         auto state = at(who).state;
         if (who != number && (state == State::Silent || state == State::Suspected || state == State::Dead))
             to.push_back(who);
@@ -209,12 +209,12 @@
 
 double Membership::bytes_left(Micros now) {
     auto own = byte_budget.left(now);
-    return page_server ? std::min(own, page_server->left(now)) : own;
+    return page_server ? std::min(own, page_server->available_bytes(now)) : own;
 }
 
 void Membership::spend(std::size_t bytes) {
     byte_budget.spend(bytes);
-    if (page_server) page_server->spend_own(bytes);
+    if (page_server) page_server->spend_membership(bytes);
 }
 
 double Membership::spare(Micros now) {
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -20,21 +20,22 @@
 
 }  // namespace
 
-void Membership::accuse(Number who, Number accuser, Micros age, Micros now) {
+void Membership::accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now) {
     auto& member = at(who);
     auto& member_state = member.member_state;
-    if (who == number || member_state.life == 0 || member_state.phase == Phase::Gone ||
-        member_state.verdict == Verdict::Dead)
+    if (who == number || member_state.generation == 0 || member_state.phase == Phase::Gone ||
+        member_state.liveness == Liveness::Dead)
         return;
-    member_state.verdict = Verdict::Suspected;
+    member_state.liveness = Liveness::Suspected;
     // Who is known to be cut off from it on one way is no second witness.
-    if (accuser >= 0 && (reachability.cut(accuser, who) || reachability.cut(who, accuser))) accuser = -1;
+    if (accuser >= 0 && (reachability.is_down(accuser, who) || reachability.is_down(who, accuser)))
+        accuser = -1;
     if (suspicions.accuse(who, accuser, age, now)) spread(who, true);
     note(who, accuser, now);
 }
 
 void Membership::judge(Micros now) {
-    std::vector<Number> due, last_calls;
+    std::vector<RouterIndex> due, last_calls;
     for (auto& [who, one] : suspicions.all()) {
         if (!one.ask_first && now >= suspicions.verdict_at(one, at(who).heard)) due.push_back(who);
         if (suspicions.wants_last_call(one, at(who).heard, now)) last_calls.push_back(who);
@@ -44,8 +45,8 @@
         if (make_last_call(who, now)) suspicions.called(who, now);
     for (auto who : due) {
         suspicions.acquit(who);
-        if (at(who).member_state.verdict != Verdict::Suspected) continue;
-        at(who).member_state.verdict = Verdict::Dead;
+        if (at(who).member_state.liveness != Liveness::Suspected) continue;
+        at(who).member_state.liveness = Liveness::Dead;
         spread(who, true);
         note(who, -1, now);
     }
@@ -54,10 +55,10 @@
 // Guards against a verdict by a router that alone has missed the answer to the accusation: it asks the
 // accused once more, or one more of the others, and tells them what it holds, who put it right if they know
 // better. False where nothing could be sent.
-bool Membership::make_last_call(Number who, Micros now) {
+bool Membership::make_last_call(RouterIndex who, Micros now) {
     if (bytes_left(now) <= rates.bytes_per_s * kept_back(SendPriority::Answer)) return false;
     Message ping;
-    ping.kind = Kind::Ping;
+    ping.type = MessageType::Ping;
     bool asks = asks_accused();
     bool sent = asks && send(who, ping, SendPriority::Answer, now);
     for (auto other : pick(asks ? witnesses_beside_accused : witnesses_alone, who))
@@ -73,17 +74,17 @@
     return draw(chance) < expected_last_pings;
 }
 
-State Membership::worked_out(Number who) const {
+State Membership::worked_out(RouterIndex who) const {
     auto& s = at(who).member_state;
-    if (s.life == 0) return State::Unknown;
+    if (s.generation == 0) return State::Unknown;
     if (s.phase == Phase::Gone) return State::Gone;
-    if (s.verdict == Verdict::Dead) return State::Dead;
+    if (s.liveness == Liveness::Dead) return State::Dead;
     if (s.phase == Phase::Leaving) return State::Leaving;
-    if (s.verdict == Verdict::Suspected) return State::Suspected;
-    return reachability.cut(who, number) ? State::Silent : State::Alive;
+    if (s.liveness == Liveness::Suspected) return State::Suspected;
+    return reachability.is_down(who, number) ? State::Silent : State::Alive;
 }
 
-void Membership::note(Number who, Number by, Micros now) {
+void Membership::note(RouterIndex who, RouterIndex by, Micros now) {
     auto& member = at(who);
     auto after = worked_out(who);
     if (after == member.state || who == number) return;
@@ -93,14 +94,14 @@
     if (changed.size() < most_changes) changed.push_back({who, before, after, now, member.member_state, by});
 }
 
-void Membership::note_cut(Number speaker, Number listener, bool cut, Number by, Micros now) {
+void Membership::note_cut(RouterIndex speaker, RouterIndex listener, bool cut, RouterIndex by, Micros now) {
     if (cut_news.size() < most_changes) cut_news.push_back({speaker, listener, 0, cut});
     note(speaker, by, now);
 }
 
 // A cut that ends without a datagram leaves the same trace as one that a datagram ends.
-void Membership::note_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now) {
-    for (auto& report : ended_cuts) note_cut(report.speaker, report.listener, false, by, now);
+void Membership::note_ended_cuts(const std::vector<LinkReport>& ended_cuts, RouterIndex by, Micros now) {
+    for (auto& report : ended_cuts) note_cut(report.sender, report.receiver, false, by, now);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/message.hpp
+++ b/src/peers/message.hpp
@@ -13,41 +13,44 @@
 
 namespace quillgrade::peers {
 
-inline constexpr std::size_t longest = 256;          // bytes of a datagram, by the platform's protocol
-inline constexpr int most_pages = 4;                 // that one request may ask for
-inline constexpr int block = 16;                     // routers a hash of a digest covers
-inline constexpr std::size_t most_link_reports = 6;  // that one datagram brings along
+inline constexpr std::size_t max_datagram_bytes = 256;  // bytes of a datagram, by the platform's protocol
+inline constexpr int max_pages_per_request = 4;         // that one request may ask for
+inline constexpr int members_per_digest_hash = 16;      // routers a hash of a digest covers
+inline constexpr std::size_t max_link_reports = 6;      // that one datagram brings along
 
-enum class Kind { Ping = 1, Heard, Ask, No, Digest, News, RangeRequest, RangePage };
+enum class MessageType { Ping = 1, Ack, PingRequest, Nack, Digest, Gossip, RangeRequest, RangePage };
 
 // Kinds that only a tier with Rates::state_transfer knows.
-inline bool of_state_transfer(Kind kind) { return kind == Kind::RangeRequest || kind == Kind::RangePage; }
+inline bool is_state_transfer(MessageType type) {
+    return type == MessageType::RangeRequest || type == MessageType::RangePage;
+}
 
-struct Accusation {
-    Number accused = 0, accuser = 0;
+struct SuspicionReport {
+    RouterIndex suspect = 0, reporter = 0;
     Micros age = 0;  // since the first accusation, at the time of sending
-    bool operator==(const Accusation&) const = default;
+    bool operator==(const SuspicionReport&) const = default;
 };
 // What the listener says of a pair: whether it hears the speaker.
 struct LinkReport {
-    Number speaker = 0, listener = 0;
-    std::uint32_t said = 0;  // grows with each statement of this listener in one life
-    bool cut = false;
+    RouterIndex sender = 0, receiver = 0;
+    std::uint32_t sequence = 0;  // grows with each statement of this listener in one life
+    bool down = false;
     bool operator==(const LinkReport&) const = default;
 };
 
 struct Message {
-    Number from = 0;
-    MemberState self;  // of the sender; its verdict is always alive
-    int zone = -1;     // -1: not told
-    Kind kind = Kind::News;
-    std::uint32_t probe = 0;
-    Number about = -1;  // Ask, No: the router probed; Ping, Heard: for whom, -1: for the sender of the ping
-    bool direct = false;
-    std::vector<Account> accounts;
-    std::vector<Accusation> accusations;
+    RouterIndex from = 0;
+    MemberState sender_state;  // of the sender; its verdict is always alive
+    int zone = -1;             // -1: not told
+    MessageType type = MessageType::Gossip;
+    std::uint32_t probe_id = 0;
+    RouterIndex target =
+        -1;  // Ask, No: the router probed; Ping, Heard: for whom, -1: for the sender of the ping
+    bool direct_ping_received = false;
+    std::vector<MemberRecord> records;
+    std::vector<SuspicionReport> suspicions;
     std::vector<LinkReport> link_reports;  // Digest: cuts that the sender holds, to be put right; else news
-    Number first = 0;
+    RouterIndex first_member = 0;
     std::vector<std::uint32_t> hashes;
     std::string payload;  // of the piggyback, not looked into here
     // RangeRequest: up to `pages` pages of the members from `first` on, `range_members` of them.
@@ -58,15 +61,23 @@
 };
 
 // Why a datagram was dropped; counted by place.
-enum class Dropped { TooLong, Malformed, Format, Source, OutOfRange, TransferOff, Last };
+enum class DropReason {
+    TooLong,
+    Malformed,
+    UnsupportedFormat,
+    UnexpectedSender,
+    OutOfRange,
+    StateTransferDisabled,
+    Count
+};
 
-struct Decoded {
+struct DecodeResult {
     std::optional<Message> message;
-    Dropped why = Dropped::Malformed;
+    DropReason drop_reason = DropReason::Malformed;
 };
 // `routers`: how many there are; whatever names another is dropped whole. `now`: a life from more than a day
 // ahead is dropped too, so that no datagram can claim a number for good.
-Decoded decode(std::string_view datagram, int routers, Micros now);
+DecodeResult decode(std::string_view datagram, int routers, Micros now);
 // May be longer than `longest`: the caller adds accounts while there is room.
 std::string encode(const Message& message);
 
--- a/src/peers/page_server.hpp
+++ b/src/peers/page_server.hpp
@@ -10,15 +10,15 @@
 
 namespace quillgrade::peers {
 
-class PageServer {
+class PageSendBudget {
 public:
     // `membership_bytes_per_s`: Rates::bytes_per_s.
-    PageServer(double membership_bytes_per_s, Micros now)
+    PageSendBudget(double membership_bytes_per_s, Micros now)
         : reserved(membership_bytes_per_s * reserved_seconds),
           pages(pages_bytes_per_s, now, pages_burst_bytes),
           total(total_rate(membership_bytes_per_s), now, total_rate(membership_bytes_per_s) * burst_seconds) {
     }
-    bool allows(std::size_t bytes, Micros now) {
+    bool allows_page(std::size_t bytes, Micros now) {
         auto needed = static_cast<double>(bytes);
         return pages.left(now) >= needed && total.left(now) >= reserved + needed;
     }
@@ -27,8 +27,8 @@
         total.spend(bytes);
     }
     // What the membership sends itself, and may send at most.
-    void spend_own(std::size_t bytes) { total.spend(bytes); }
-    double left(Micros now) { return total.left(now); }
+    void spend_membership(std::size_t bytes) { total.spend(bytes); }
+    double available_bytes(Micros now) { return total.left(now); }
 
 private:
     // A start takes some 26 KB at 5,900 routers; when a tenth starts at once each helper gives 300 bytes a
--- a/src/peers/probe_schedule.cpp
+++ b/src/peers/probe_schedule.cpp
@@ -7,7 +7,7 @@
 
 namespace quillgrade::peers {
 
-Number ProbeSchedule::target(std::int64_t slot) {
+RouterIndex ProbeSchedule::target(std::int64_t slot) {
     auto others = routers - 1;
     if (slot / others != round) {
         round = slot / others;
--- a/src/peers/probe_schedule.hpp
+++ b/src/peers/probe_schedule.hpp
@@ -14,13 +14,14 @@
 
 class ProbeSchedule {
 public:
-    ProbeSchedule(Number self, int routers, Micros period) : self(self), routers(routers), period(period) {}
+    ProbeSchedule(RouterIndex self, int routers, Micros period)
+        : self(self), routers(routers), period(period) {}
     std::int64_t slot(Micros now) const { return now / period; }
     Micros start(std::int64_t slot) const { return slot * period; }
-    Number target(std::int64_t slot);  // never `self`; needs two routers at least
+    RouterIndex target(std::int64_t slot);  // never `self`; needs two routers at least
 
 private:
-    Number self;
+    RouterIndex self;
     int routers;
     Micros period;
     std::int64_t round = -1;
--- a/src/peers/round_trips.hpp
+++ b/src/peers/round_trips.hpp
@@ -9,18 +9,19 @@
 
 namespace quillgrade::peers {
 
-class RoundTrips {
+class RoundTripEstimator {
 public:
     // `longest_believed`: longer ones are a lost datagram's doing, and are taken as this.
-    RoundTrips(Micros longest_believed, Micros now) : longest_believed(longest_believed), begun(now) {}
+    RoundTripEstimator(Micros longest_believed, Micros now)
+        : longest_believed(longest_believed), begun(now) {}
 
-    void measured(Micros length, Micros now) {
+    void record(Micros length, Micros now) {
         begin_generation(now);
         current = std::max(current, std::clamp<Micros>(length, 0, longest_believed));
         count = std::min(count + 1, enough);
     }
     // The longest one believed while there are too few measured ones to go by.
-    Micros longest(Micros now) {
+    Micros max_round_trip(Micros now) {
         begin_generation(now);
         return count < enough ? longest_believed : std::max(current, previous);
     }
--- a/src/peers/snapshot_page.hpp
+++ b/src/peers/snapshot_page.hpp
@@ -21,26 +21,26 @@
 
 namespace quillgrade::peers {
 
-inline constexpr int most_page_members = 1024;  // 10 bits
+inline constexpr int max_members_per_page = 1024;  // 10 bits
 
 struct SnapshotPage {
-    Number first = 0;
-    int members = 0;  // 1 to most_page_members
-    std::vector<Account>
-        accounts;  // of members of the range, in order; the others are not known to the sender
-    Number end() const { return first + members; }
+    RouterIndex first_member = 0;
+    int member_count = 0;  // 1 to max_members_per_page
+    std::vector<MemberRecord>
+        records;  // of members of the range, in order; the others are not known to the sender
+    RouterIndex end() const { return first_member + member_count; }
     bool operator==(const SnapshotPage&) const = default;
 };
 
-std::string pack(const SnapshotPage& page);
+std::string encode_page(const SnapshotPage& page);
 
 // Nothing where the bytes are no page, in its one encoding, of members under `routers` with lives up to
 // `latest`.
-std::optional<SnapshotPage> unpack(std::string_view bytes, int routers, Life latest);
+std::optional<SnapshotPage> decode_page(std::string_view bytes, int routers, Generation latest);
 
 // The page from `first` on that holds the most members of `states` within `room` bytes. `states` are those
 // from `first` on, life 0: no account. Nothing where there are no states, or not even one fits.
-std::optional<SnapshotPage> largest_page(Number first, const std::vector<MemberState>& states,
+std::optional<SnapshotPage> largest_page(RouterIndex first, const std::vector<MemberState>& states,
                                          std::size_t room);
 
 }  // namespace quillgrade::peers
--- a/src/peers/state_transfer.cpp
+++ b/src/peers/state_transfer.cpp
@@ -15,7 +15,7 @@
 // Of 4,000 bytes a second that a router may take in and send, all kinds together. With the burst, two seconds
 // hold 7,312 bytes; the rest is for gossip that comes beyond what is saved up.
 constexpr double paced_bytes_per_s = 3'400, paced_burst_bytes = 512;
-constexpr std::size_t page_bytes = longest;
+constexpr std::size_t page_bytes = max_datagram_bytes;
 
 constexpr std::size_t most_open = 4;  // requests at a time, to as many helpers
 constexpr int pages_a_request = 2;    // as many as the burst has bytes for
@@ -31,11 +31,11 @@
 constexpr std::size_t most_closed = 32, most_unanswered = 8;
 constexpr int most_draws = 24;  // of helpers, until a good one is found
 
-int blocks_of(int routers) { return (routers + block - 1) / block; }
+int blocks_of(int routers) { return (routers + members_per_digest_hash - 1) / members_per_digest_hash; }
 
 }  // namespace
 
-StateTransfer::StateTransfer(Number own_number, int count, std::uint32_t seed, Micros now)
+StateTransfer::StateTransfer(RouterIndex own_number, int count, std::uint32_t seed, Micros now)
     : self(own_number),
       routers(count),
       chance(seed),
@@ -61,14 +61,14 @@
     if (!wants_more()) finish(now);
 }
 
-void StateTransfer::refresh(Number first, int members, Number from, Micros now) {
+void StateTransfer::refresh(RouterIndex first, int members, RouterIndex from, Micros now) {
     if (state != Phase::Complete) return;
     if (!wants_more()) {
         began = news_at = ask_at = now;
         fruitless = 0;
     }
-    for (Number who = first; who < first + members; who++) {
-        auto& last = refreshed[static_cast<std::size_t>(who / block)];
+    for (RouterIndex who = first; who < first + members; who++) {
+        auto& last = refreshed[static_cast<std::size_t>(who / members_per_digest_hash)];
         if (who == self || needed[static_cast<std::size_t>(who)]) continue;
         if (last != 0 && last != now && now - last < refresh_every) continue;
         last = now;
@@ -80,7 +80,7 @@
     }
 }
 
-void StateTransfer::count(std::size_t bytes, Micros now) {
+void StateTransfer::record_traffic(std::size_t bytes, Micros now) {
     if (now == back_at) return;
     if (traffic.left(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
 }
@@ -90,22 +90,25 @@
     begin(now);
 }
 
-bool StateTransfer::expects(Number from, const SnapshotPage& page, Micros now) const {
+bool StateTransfer::is_expected(RouterIndex from, const SnapshotPage& page, Micros now) const {
     auto in_open = [&](const Open& one) {
-        return one.request.helper == from && page.first >= one.request.first && page.end() <= one.end();
+        return one.request.helper == from && page.first_member >= one.request.first_member &&
+               page.end() <= one.end();
     };
     auto in_closed = [&](const Closed& one) {
-        return one.helper == from && page.first >= one.first && page.end() <= one.end &&
+        return one.helper == from && page.first_member >= one.first && page.end() <= one.end &&
                now - one.at <= late_limit;
     };
     return std::any_of(open.begin(), open.end(), in_open) ||
            std::any_of(closed.begin(), closed.end(), in_closed);
 }
 
-void StateTransfer::take(Number from, const SnapshotPage& page, bool complete, Micros now) {
+void StateTransfer::accept_page(RouterIndex from, const SnapshotPage& page, bool complete, Micros now) {
     for (std::size_t i = 0; i < open.size(); i++) {
         auto& one = open[i];
-        if (one.request.helper != from || page.first < one.request.first || page.end() > one.end()) continue;
+        if (one.request.helper != from || page.first_member < one.request.first_member ||
+            page.end() > one.end())
+            continue;
         answered = true;
         answered_by_complete |= complete;
         traffic.spend_back(page_bytes);  // its bytes were counted when it came
@@ -121,7 +124,7 @@
     }
 }
 
-void StateTransfer::take_busy(Number from, Micros now) {
+void StateTransfer::accept_busy(RouterIndex from, Micros now) {
     for (std::size_t i = 0; i < open.size(); i++)
         if (open[i].request.helper == from) return close(i, now);
 }
@@ -129,23 +132,23 @@
 // A helper that is complete knows that there is nothing to tell of the members it leaves out.
 int StateTransfer::complete_members(const SnapshotPage& page, bool all) {
     int before = members_missing;
-    auto complete_one = [this](Number who) {
+    auto complete_one = [this](RouterIndex who) {
         auto place = static_cast<std::size_t>(who);
         if (!needed[place]) return;
         needed[place] = false;
         members_missing--;
     };
     if (all)
-        for (Number who = page.first; who < page.end(); who++) complete_one(who);
+        for (RouterIndex who = page.first_member; who < page.end(); who++) complete_one(who);
     else
-        for (auto& one : page.accounts) complete_one(one.who);
+        for (auto& one : page.records) complete_one(one.member);
     return before - members_missing;
 }
 
 void StateTransfer::learn_density(const SnapshotPage& page) {
     constexpr double weight = 0.25;
-    if (page.members < least_stripe / 2) return;  // the end of a range, most likely
-    members_a_page += weight * (std::min<double>(page.members, 4 * least_stripe) - members_a_page);
+    if (page.member_count < least_stripe / 2) return;  // the end of a range, most likely
+    members_a_page += weight * (std::min<double>(page.member_count, 4 * least_stripe) - members_a_page);
 }
 
 int StateTransfer::pages_for(int members) const {
@@ -153,9 +156,9 @@
     return std::clamp(pages, 1, pages_a_request);
 }
 
-std::optional<Number> StateTransfer::claimed_until(Number member) const {
+std::optional<RouterIndex> StateTransfer::claimed_until(RouterIndex member) const {
     for (auto& one : open)
-        if (member >= one.request.first && member < one.end()) return one.end();
+        if (member >= one.request.first_member && member < one.end()) return one.end();
     return {};
 }
 
@@ -163,13 +166,13 @@
 std::optional<StateTransfer::Gap> StateTransfer::first_gap() {
     while (lowest_needed < routers && !needed[static_cast<std::size_t>(lowest_needed)]) lowest_needed++;
     auto most =
-        std::min(most_page_members, std::max(least_stripe, routers / static_cast<int>(most_open) + 1));
-    for (Number who = lowest_needed; who < routers;) {
+        std::min(max_members_per_page, std::max(least_stripe, routers / static_cast<int>(most_open) + 1));
+    for (RouterIndex who = lowest_needed; who < routers;) {
         if (auto end = claimed_until(who)) {
             who = *end;
             continue;
         }
-        Number end = who;
+        RouterIndex end = who;
         while (end < routers && end - who < most && needed[static_cast<std::size_t>(end)] &&
                !claimed_until(end))
             end++;
@@ -179,24 +182,24 @@
     return {};
 }
 
-bool StateTransfer::avoided(Number helper) const {
+bool StateTransfer::avoided(RouterIndex helper) const {
     return std::any_of(open.begin(), open.end(), [&](auto& one) { return one.request.helper == helper; }) ||
            std::count(unanswered.begin(), unanswered.end(), helper) > 0;
 }
 
 // Every other request prefers a helper of the own zone, where the way is short; the others spread over all
 // zones, so that the loss of one zone, or its wrong view, is never all that is heard.
-std::optional<Number> StateTransfer::choose(const Ranking& rank) {
+std::optional<RouterIndex> StateTransfer::choose(const Ranking& rank) {
     if (source) {
         if (!avoided(*source)) return source;
         if (std::count(unanswered.begin(), unanswered.end(), *source) == 0) return {};  // still answering
         source.reset();
     }
-    std::optional<Number> best;
-    auto best_rank = HelperRank::Unfit;
+    std::optional<RouterIndex> best;
+    auto best_rank = HelperRank::Unusable;
     prefer_near = !prefer_near;
-    auto enough = prefer_near ? HelperRank::Near : HelperRank::Fit;
-    boost::random::uniform_int_distribution<Number> draw(0, routers - 1);
+    auto enough = prefer_near ? HelperRank::SameZone : HelperRank::Usable;
+    boost::random::uniform_int_distribution<RouterIndex> draw(0, routers - 1);
     for (int i = 0; i < most_draws && best_rank < enough; i++) {
         auto who = draw(chance);
         if (who == self || avoided(who)) continue;
@@ -210,7 +213,7 @@
     return best;
 }
 
-std::optional<RangeRequest> StateTransfer::next(const Ranking& rank, Micros now) {
+std::optional<RangeRequest> StateTransfer::next_request(const Ranking& rank, Micros now) {
     if (!wants_more() || state == Phase::Failed || now < ask_at || open.size() >= most_open) return {};
     auto gap = first_gap();
     all_claimed = !gap;
@@ -235,7 +238,7 @@
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     all_claimed = false;
     traffic.spend_back(static_cast<std::size_t>(one.pages_left) * page_bytes);
-    closed.push_back({one.request.helper, one.request.first, one.end(), now});
+    closed.push_back({one.request.helper, one.request.first_member, one.end(), now});
     if (closed.size() > most_closed) closed.pop_front();
     if (one.news)
         fruitless = 0;
@@ -255,7 +258,7 @@
 void StateTransfer::expire(Micros now) {
     for (std::size_t i = open.size(); i > 0; i--) {
         if (now < open[i - 1].deadline) continue;
-        bool silent = open[i - 1].pages_left == open[i - 1].request.pages;
+        bool silent = open[i - 1].pages_left == open[i - 1].request.max_pages;
         if (silent) unanswered.push_back(open[i - 1].request.helper);
         if (unanswered.size() > most_unanswered) unanswered.pop_front();
         close(i - 1, now);
@@ -274,7 +277,7 @@
     while (!open.empty()) close(open.size() - 1, now);
 }
 
-Micros StateTransfer::due() const {
+Micros StateTransfer::next_check() const {
     constexpr Micros never = INT64_MAX;
     Micros at = never;
     for (auto& one : open) at = std::min(at, one.deadline);
@@ -287,7 +290,8 @@
 
 std::size_t StateTransfer::bytes_held() const {
     return sizeof *this + needed.size() / 8 + refreshed.size() * sizeof(Micros) +
-           open.capacity() * sizeof(Open) + most_closed * sizeof(Closed) + most_unanswered * sizeof(Number);
+           open.capacity() * sizeof(Open) + most_closed * sizeof(Closed) +
+           most_unanswered * sizeof(RouterIndex);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/state_transfer.hpp
+++ b/src/peers/state_transfer.hpp
@@ -25,18 +25,18 @@
 namespace quillgrade::peers {
 
 struct RangeRequest {
-    Number helper = 0;
-    Number first = 0;
-    int members = 0;
-    int pages = 0;
+    RouterIndex helper = 0;
+    RouterIndex first_member = 0;
+    int member_count = 0;
+    int max_pages = 0;
 };
 
 // How well a member suits as a helper. One that is only listed is as good as one known to be alive: else all
 // routers of a tier that starts would ask the few that all have heard of.
 enum class HelperRank {
-    Unfit,  // known to be gone, dead, or cut off
-    Fit,
-    Near  // alive, and of the own zone
+    Unusable,  // known to be gone, dead, or cut off
+    Usable,
+    SameZone  // alive, and of the own zone
 };
 
 class StateTransfer {
@@ -46,9 +46,9 @@
         Complete,  // it has ended; ranges may be fetched anew
         Failed     // nobody answered
     };
-    using Ranking = std::function<HelperRank(Number)>;
+    using Ranking = std::function<HelperRank(RouterIndex)>;
 
-    StateTransfer(Number own_number, int count, std::uint32_t seed, Micros now);
+    StateTransfer(RouterIndex own_number, int count, std::uint32_t seed, Micros now);
 
     // Fetches all anew, as at a start.
     void begin(Micros now);
@@ -56,27 +56,27 @@
     void begin_after_pause(Micros now);
     // Fetches a range in which the accounts of `from` differ, from it if it answers, unless that was done a
     // short time ago.
-    void refresh(Number first, int members, Number from, Micros now);
+    void refresh(RouterIndex first, int members, RouterIndex from, Micros now);
 
     // Each datagram that comes or is sent, whatever it is.
-    void count(std::size_t bytes, Micros now);
+    void record_traffic(std::size_t bytes, Micros now);
     // Whether `from` was asked for such a page a short time ago. Others are not to be used.
-    bool expects(Number from, const SnapshotPage& page, Micros now) const;
-    void take(Number from, const SnapshotPage& page, bool complete, Micros now);
+    bool is_expected(RouterIndex from, const SnapshotPage& page, Micros now) const;
+    void accept_page(RouterIndex from, const SnapshotPage& page, bool complete, Micros now);
     // The helper says that it can't answer now.
-    void take_busy(Number from, Micros now);
+    void accept_busy(RouterIndex from, Micros now);
 
     // What is to be asked now, if anything; it counts as asked.
-    std::optional<RangeRequest> next(const Ranking& rank, Micros now);
+    std::optional<RangeRequest> next_request(const Ranking& rank, Micros now);
     // Requests whose time is up end, and the whole by its limits.
     void expire(Micros now);
     // When `expire` or `next` has something to do at the latest.
-    Micros due() const;
+    Micros next_check() const;
 
     Phase phase() const { return state; }
     // Since it began a helper has answered that had finished its own: the tier is not starting as a whole.
-    bool tier_is_complete() const { return answered_by_complete; }
-    int missing() const { return members_missing; }
+    bool complete_helper_answered() const { return answered_by_complete; }
+    int missing_members() const { return members_missing; }
     std::size_t bytes_held() const;
 
 private:
@@ -85,23 +85,23 @@
         Micros deadline;
         int pages_left;
         bool news = false;  // some of its pages completed members
-        Number end() const { return request.first + request.members; }
+        RouterIndex end() const { return request.first_member + request.member_count; }
     };
     struct Closed {
-        Number helper;
-        Number first, end;
+        RouterIndex helper;
+        RouterIndex first, end;
         Micros at;
     };
     struct Gap {
-        Number first = 0;
+        RouterIndex first = 0;
         int members = 0;
     };
 
     bool wants_more() const { return members_missing > 0; }
     std::optional<Gap> first_gap();
-    std::optional<Number> claimed_until(Number member) const;
-    std::optional<Number> choose(const Ranking& rank);
-    bool avoided(Number helper) const;
+    std::optional<RouterIndex> claimed_until(RouterIndex member) const;
+    std::optional<RouterIndex> choose(const Ranking& rank);
+    bool avoided(RouterIndex helper) const;
     int complete_members(const SnapshotPage& page, bool all);
     int pages_for(int members) const;
     void learn_density(const SnapshotPage& page);
@@ -109,7 +109,7 @@
     void nothing_new(Micros now);
     void finish(Micros now);
 
-    Number self;
+    RouterIndex self;
     int routers;
     boost::random::taus88 chance;
     Phase state = Phase::Running;
@@ -118,14 +118,14 @@
     std::vector<bool> needed;       // by member
     std::vector<Micros> refreshed;  // by block of members: when it was fetched anew last
     int members_missing = 0;
-    Number lowest_needed = 0;  // none below is needed
-    bool all_claimed = false;  // open requests are about all that is needed
-    double members_a_page;     // as pages showed so far
+    RouterIndex lowest_needed = 0;  // none below is needed
+    bool all_claimed = false;       // open requests are about all that is needed
+    double members_a_page;          // as pages showed so far
     std::vector<Open> open;
-    std::deque<Closed> closed;      // the last few
-    std::deque<Number> unanswered;  // helpers that let a request's time run out
-    bool answered = false;          // somebody has, since the beginning
-    std::optional<Number> source;   // of the ranges that are fetched anew
+    std::deque<Closed> closed;           // the last few
+    std::deque<RouterIndex> unanswered;  // helpers that let a request's time run out
+    bool answered = false;               // somebody has, since the beginning
+    std::optional<RouterIndex> source;   // of the ranges that are fetched anew
     bool prefer_near = true;
     int fruitless = 0;  // requests in a row that brought nothing new
     Micros ask_at = 0;
--- a/src/peers/status_word.hpp
+++ b/src/peers/status_word.hpp
@@ -9,17 +9,17 @@
 namespace quillgrade::peers {
 
 inline std::uint32_t status_word(const MemberState& state) {
-    return state.incarnation * 32 + (state.ill ? 16 : 0) + static_cast<std::uint32_t>(state.verdict) * 4 +
-           static_cast<std::uint32_t>(state.phase);
+    return state.incarnation * 32 + (state.unhealthy ? 16 : 0) +
+           static_cast<std::uint32_t>(state.liveness) * 4 + static_cast<std::uint32_t>(state.phase);
 }
 
 // False where the word names no phase or verdict; the life of `into` stays as it is.
-inline bool read_status_word(std::uint32_t word, MemberState& into) {
+inline bool parse_status_word(std::uint32_t word, MemberState& into) {
     auto phase = word % 4, verdict = word / 4 % 4;
-    into.ill = word & 16;
+    into.unhealthy = word & 16;
     into.incarnation = word / 32;
     into.phase = static_cast<Phase>(phase);
-    into.verdict = static_cast<Verdict>(verdict);
+    into.liveness = static_cast<Liveness>(verdict);
     return phase <= 2 && verdict <= 2;
 }
 
--- a/src/peers/suspicion.cpp
+++ b/src/peers/suspicion.cpp
@@ -4,12 +4,12 @@
 
 namespace quillgrade::peers {
 
-const Suspicion* Suspicions::find(Number who) const {
+const Suspicion* Suspicions::find(RouterIndex who) const {
     auto found = open.find(who);
     return found == open.end() ? nullptr : &found->second;
 }
 
-bool Suspicions::accuse(Number who, Number accuser, Micros age, Micros now) {
+bool Suspicions::accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now) {
     // Guards against an age that somebody invents, or that a clock makes: half of the shortest time is always
     // left to answer.
     auto since = now - std::clamp<Micros>(age, 0, times.shortest / 2);
@@ -50,7 +50,7 @@
     }
 }
 
-void Suspicions::asked(Number who) {
+void Suspicions::asked(RouterIndex who) {
     auto found = open.find(who);
     if (found != open.end()) found->second.ask_first = false;
 }
--- a/src/peers/suspicion.hpp
+++ b/src/peers/suspicion.hpp
@@ -13,10 +13,10 @@
 namespace quillgrade::peers {
 
 struct Suspicion {
-    Micros since = 0;              // of the first accusation, as far as known
-    std::vector<Number> accusers;  // different ones, two at most
-    bool ask_first = false;        // I was away: probe it myself before judging
-    Micros called_at = 0;          // when it was asked about once more, before the verdict; 0: not yet
+    Micros since = 0;                   // of the first accusation, as far as known
+    std::vector<RouterIndex> accusers;  // different ones, two at most
+    bool ask_first = false;             // I was away: probe it myself before judging
+    Micros called_at = 0;               // when it was asked about once more, before the verdict; 0: not yet
 };
 
 class Suspicions {
@@ -28,9 +28,9 @@
     explicit Suspicions(Times times) : times(times) {}
 
     // `age`: how long ago the first accusation was, as told. `accuser` -1: not told. True where it is news.
-    bool accuse(Number who, Number accuser, Micros age, Micros now);
-    void acquit(Number who) { open.erase(who); }
-    const Suspicion* find(Number who) const;
+    bool accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now);
+    void acquit(RouterIndex who) { open.erase(who); }
+    const Suspicion* find(RouterIndex who) const;
     // When it becomes a verdict, where a last call has been made in time. A router that was heard at `heard`
     // itself has the time from then.
     Micros due(const Suspicion& suspicion, Micros heard) const;
@@ -42,14 +42,14 @@
     bool wants_last_call(const Suspicion& suspicion, Micros heard, Micros now) const;
     // The router was away for so long: nobody is judged by what fell into that time.
     void set_back(Micros away);
-    void called(Number who, Micros now) { open.at(who).called_at = now; }
-    void asked(Number who);  // it has been, and has not answered
-    const std::map<Number, Suspicion>& all() const { return open; }
+    void called(RouterIndex who, Micros now) { open.at(who).called_at = now; }
+    void asked(RouterIndex who);  // it has been, and has not answered
+    const std::map<RouterIndex, Suspicion>& all() const { return open; }
 
 private:
     static constexpr std::size_t most_accusers = 2;
     Times times;
-    std::map<Number, Suspicion> open;
+    std::map<RouterIndex, Suspicion> open;
 };
 
 }  // namespace quillgrade::peers
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -42,19 +42,19 @@
     return made;
 }
 
-peers::Start start_of(peers::Number self, int zone, const HollowTerms& terms, Micros now) {
+peers::Start start_of(peers::RouterIndex self, int zone, const HollowTerms& terms, Micros now) {
     peers::Start start;
     start.self = self;
     start.routers = terms.addresses->routers();
     start.zone = zone;
-    start.life = static_cast<peers::Life>(now / 1000);
+    start.life = static_cast<peers::Generation>(now / 1000);
     start.seed = terms.seed + static_cast<std::uint64_t>(self);
     start.now = now;
     start.rates = terms.rates;
     return start;
 }
 
-shared::Terms shared_terms_of(peers::Number self, const HollowTerms& terms, Micros now) {
+shared::Terms shared_terms_of(peers::RouterIndex self, const HollowTerms& terms, Micros now) {
     shared::Terms made;
     made.site = static_cast<const Bounds&>(terms.launch->facts);
     made.parts.facts = terms.shared_facts;
@@ -68,12 +68,12 @@
 
 AddressBook::AddressBook(const std::vector<PackedAddress>& all) {
     for (auto packed : all) {
-        numbers[packed] = static_cast<peers::Number>(addresses.size());
+        numbers[packed] = static_cast<peers::RouterIndex>(addresses.size());
         addresses.push_back(unpack(packed));
     }
 }
 
-peers::Number AddressBook::router_at(const feed::Address& address) const {
+peers::RouterIndex AddressBook::router_at(const feed::Address& address) const {
     auto found = numbers.find(pack(address));
     return found == numbers.end() ? -1 : found->second;
 }
@@ -87,7 +87,8 @@
       stream_seen(start.now),
       started(start.now) {}
 
-HollowRouter::HollowRouter(event_base* base, peers::Number number, int zone, const feed::Address& address)
+HollowRouter::HollowRouter(event_base* base, peers::RouterIndex number, int zone,
+                           const feed::Address& address)
     : base(base), self(number), zone(zone), listen(address), socket(bind_to(listen)), wake(base, [this] {
           woken = true;
       }) {
@@ -118,7 +119,7 @@
 void HollowRouter::readable() {
     for (int i = 0; i < most_datagrams_a_pass; i++) {
         // One byte more than a datagram may have tells those that are too long.
-        std::array<char, peers::longest + 1> bytes;
+        std::array<char, peers::max_datagram_bytes + 1> bytes;
         sockaddr_in source{};
         socklen_t size = sizeof source;
         auto got =
@@ -205,11 +206,11 @@
 bool HollowRouter::knows(double share) const {
     auto now = node::Clock().now();
     int running = 0;
-    for (peers::Number who = 0; who < terms.addresses->routers(); who++)
+    for (peers::RouterIndex who = 0; who < terms.addresses->routers(); who++)
         if (who != self && terms.members->runs(who)) running++;
     int most_missing = static_cast<int>((1 - share) * running);
     int missing = 0;
-    for (peers::Number who = 0; who < terms.addresses->routers(); who++) {
+    for (peers::RouterIndex who = 0; who < terms.addresses->routers(); who++) {
         if (who == self || !terms.members->runs(who)) continue;
         if (terms.members->is_exact(who, life->membership.view(who, now).member_state)) continue;
         if (++missing > most_missing) return false;
--- a/src/rig/hollow/hollow_router.hpp
+++ b/src/rig/hollow/hollow_router.hpp
@@ -25,15 +25,15 @@
 class AddressBook {
 public:
     explicit AddressBook(const std::vector<PackedAddress>& all);
-    const feed::Address& address_of(peers::Number router) const {
+    const feed::Address& address_of(peers::RouterIndex router) const {
         return addresses[static_cast<std::size_t>(router)];
     }
-    peers::Number router_at(const feed::Address& address) const;  // -1: none
+    peers::RouterIndex router_at(const feed::Address& address) const;  // -1: none
     int routers() const { return static_cast<int>(addresses.size()); }
 
 private:
     std::vector<feed::Address> addresses;
-    std::unordered_map<PackedAddress, peers::Number> numbers;
+    std::unordered_map<PackedAddress, peers::RouterIndex> numbers;
 };
 
 // What all routers of a process have in common. What it points to outlives them.
@@ -52,7 +52,7 @@
 class HollowRouter {
 public:
     // Binds a UDP socket to `address`, port 0: any free one. Throws std::runtime_error.
-    HollowRouter(event_base* base, peers::Number number, int zone, const feed::Address& address);
+    HollowRouter(event_base* base, peers::RouterIndex number, int zone, const feed::Address& address);
     ~HollowRouter();
     HollowRouter(const HollowRouter&) = delete;
     HollowRouter& operator=(const HollowRouter&) = delete;
@@ -65,7 +65,7 @@
 
     bool started() const { return life != nullptr; }
     const feed::Address& address() const { return listen; }
-    peers::Number number() const { return self; }
+    peers::RouterIndex number() const { return self; }
     const DatagramBytes& bytes() const { return own_bytes; }
     std::uint64_t longest_datagram() const { return longest; }
     std::uint64_t away() const { return life ? life->membership.figures().away : 0; }
@@ -73,7 +73,7 @@
     // Whether it knows the exact accounts of that share of the routers that run.
     bool knows(double share) const;
     // Routers that it declared dead since the last call, with the time.
-    std::vector<std::pair<peers::Number, Micros>> take_deaths() { return std::exchange(deaths, {}); }
+    std::vector<std::pair<peers::RouterIndex, Micros>> take_deaths() { return std::exchange(deaths, {}); }
 
 private:
     // All that a restart loses.
@@ -99,7 +99,7 @@
     void note_changes();
 
     event_base* base;
-    peers::Number self;
+    peers::RouterIndex self;
     int zone;
     feed::Address listen;
     int socket;
@@ -108,8 +108,8 @@
     node::Owned<event> reading;
     node::Timer wake;
     bool woken = false;
-    std::vector<std::pair<peers::Number, std::string>> received;
-    std::vector<std::pair<peers::Number, Micros>> deaths;
+    std::vector<std::pair<peers::RouterIndex, std::string>> received;
+    std::vector<std::pair<peers::RouterIndex, Micros>> deaths;
     DatagramBytes own_bytes;
     std::uint64_t longest = 0;
 };
--- a/src/rig/hollow/supervisor.cpp
+++ b/src/rig/hollow/supervisor.cpp
@@ -394,7 +394,7 @@
     promise(result.killed_and_back == result.after_loss.started,
             fmt::format("{} of {} routers of the killed worker are back", result.killed_and_back,
                         result.after_loss.started));
-    promise(result.longest_datagram <= peers::longest,
+    promise(result.longest_datagram <= peers::max_datagram_bytes,
             fmt::format("a datagram of {} bytes", result.longest_datagram));
 }
 
--- a/src/rig/partner.hpp
+++ b/src/rig/partner.hpp
@@ -50,7 +50,7 @@
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): asked of a partner, as the rest is.
     shared::Times times(peers::Micros unix) const { return {unix, partner_terms().steady()}; }
 
-    void hear(peers::Number from, std::string_view datagram, peers::Micros now) {
+    void hear(peers::RouterIndex from, std::string_view datagram, peers::Micros now) {
         exchange_->at(times(now));
         circle_->hear(from, datagram, now);
         share(now);
--- a/src/rig/scale/scenarios.cpp
+++ b/src/rig/scale/scenarios.cpp
@@ -42,21 +42,21 @@
 template <class Value>
 Summary over_routers(const SimulatedFleet& fleet, Value value) {
     std::vector<double> values;
-    for (Number who = 0; who < fleet.routers(); who++)
+    for (RouterIndex who = 0; who < fleet.routers(); who++)
         if (fleet.runs(who)) values.push_back(value(who));
     return summarize(std::move(values));
 }
 
 double busiest(const SimulatedFleet& fleet) {
-    return over_routers(fleet, [&](Number who) { return fleet.traffic(who).busiest_window; }).max;
+    return over_routers(fleet, [&](RouterIndex who) { return fleet.traffic(who).busiest_window; }).max;
 }
 
 double bytes_of(const Traffic& traffic) { return static_cast<double>(traffic.bytes_in + traffic.bytes_out); }
 
 // At most `most` of them, evenly spread.
-std::vector<Number> some_of(const std::vector<Number>& all, std::size_t most) {
+std::vector<RouterIndex> some_of(const std::vector<RouterIndex>& all, std::size_t most) {
     if (all.size() <= most) return all;
-    std::vector<Number> some;
+    std::vector<RouterIndex> some;
     for (std::size_t i = 0; i < most; i++) some.push_back(all[i * all.size() / most]);
     return some;
 }
@@ -65,14 +65,16 @@
 class DeathObserver {
 public:
     explicit DeathObserver(SimulatedFleet& fleet) : fleet(fleet) {
-        fleet.on_change = [this](Number observer, const peers::Change& change) { note(observer, change); };
+        fleet.on_change = [this](RouterIndex observer, const peers::Change& change) {
+            note(observer, change);
+        };
     }
     ~DeathObserver() { fleet.on_change = nullptr; }
     DeathObserver(const DeathObserver&) = delete;
     DeathObserver& operator=(const DeathObserver&) = delete;
 
     // Those that are killed now.
-    void expect(const std::vector<Number>& dead) {
+    void expect(const std::vector<RouterIndex>& dead) {
         expected = {dead.begin(), dead.end()};
         milliseconds.clear();
         since = fleet.now();
@@ -82,10 +84,10 @@
     int take_false_declarations() { return std::exchange(falsely, 0); }
 
 private:
-    void note(Number observer, const peers::Change& change) {
+    void note(RouterIndex observer, const peers::Change& change) {
         if (change.after != peers::State::Dead) return;
         if (fleet.runs(change.who)) {
-            falsely += fleet.membership(change.who)->self().life == change.member_state.life;
+            falsely += fleet.membership(change.who)->self().generation == change.member_state.generation;
             return;
         }
         if (expected.contains(change.who) && !expected.contains(observer))
@@ -93,7 +95,7 @@
     }
 
     SimulatedFleet& fleet;
-    std::set<Number> expected;
+    std::set<RouterIndex> expected;
     std::vector<double> milliseconds;
     Micros since = 0;
     int falsely = 0;
@@ -105,11 +107,11 @@
     StartWatch(SimulatedFleet& fleet, Micros limit) : fleet(fleet), limit(limit) {}
     // One that starts later: the watch goes on until it was added.
     void announce() { announced++; }
-    void add_announced(Number who) {
+    void add_announced(RouterIndex who) {
         announced--;
         add(who);
     }
-    void add(Number who) {
+    void add(RouterIndex who) {
         pending.push_back({who, fleet.now()});
         watched++;
     }
@@ -141,7 +143,7 @@
 
 private:
     struct Pending {
-        Number who;
+        RouterIndex who;
         Micros since;
     };
     SimulatedFleet& fleet;
@@ -214,7 +216,7 @@
         fleet.run_for(options.quiet);
         auto length = in_seconds(options.quiet);
         auto over = [&](auto value) {
-            return over_routers(fleet, [&](Number who) { return value(fleet.traffic(who)); });
+            return over_routers(fleet, [&](RouterIndex who) { return value(fleet.traffic(who)); });
         };
         figures.quiet_bytes_per_s = over([&](auto& one) { return bytes_of(one) / length; });
         figures.quiet_bytes_sent_per_s =
@@ -223,13 +225,13 @@
         figures.quiet_datagrams_per_s = over(
             [&](auto& one) { return static_cast<double>(one.datagrams_in + one.datagrams_out) / length; });
         figures.cpu_percent = over([&](auto& one) { return 100 * one.busy_seconds / length; });
-        figures.memory_mb = over_routers(fleet, [&](Number who) {
+        figures.memory_mb = over_routers(fleet, [&](RouterIndex who) {
             return static_cast<double>(fleet.membership(who)->bytes_held()) / bytes_a_mb;
         });
     }
 
-    std::vector<Number> everybody() const {
-        std::vector<Number> all(static_cast<std::size_t>(fleet.routers()));
+    std::vector<RouterIndex> everybody() const {
+        std::vector<RouterIndex> all(static_cast<std::size_t>(fleet.routers()));
         std::iota(all.begin(), all.end(), 0);
         return all;
     }
@@ -246,7 +248,7 @@
         watch.run(start_poll);
         figures.single_starts = watch.figures();
     }
-    void restart(Number who, StartWatch& watch) {
+    void restart(RouterIndex who, StartWatch& watch) {
         fleet.kill(who);
         watch.announce();
         fleet.schedule(fleet.now() + restart_takes, [this, who, &watch] {
@@ -263,7 +265,7 @@
         fleet.run_for(settling);
     }
 
-    DetectionFigures lose(DeathObserver& deaths, const std::vector<Number>& dead, Micros limit) {
+    DetectionFigures lose(DeathObserver& deaths, const std::vector<RouterIndex>& dead, Micros limit) {
         fleet.reset_traffic();
         deaths.expect(dead);
         for (auto who : dead) fleet.kill(who);
@@ -280,7 +282,7 @@
         return detected;
     }
 
-    StartFigures start_together(const std::vector<Number>& who, Micros limit) {
+    StartFigures start_together(const std::vector<RouterIndex>& who, Micros limit) {
         fleet.reset_traffic();
         StartWatch watch(fleet, limit);
         for (auto one : who) fleet.start(one);
@@ -344,24 +346,24 @@
     }
 
     struct SeenAlive {
-        Number observer;
-        std::vector<Number> alive;
+        RouterIndex observer;
+        std::vector<RouterIndex> alive;
     };
-    SeenAlive seen_alive(Number observer) const {
+    SeenAlive seen_alive(RouterIndex observer) const {
         SeenAlive seen{observer, {}};
-        for (Number who = 0; who < fleet.routers(); who++)
+        for (RouterIndex who = 0; who < fleet.routers(); who++)
             if (fleet.membership(observer)->state(who) == peers::State::Alive) seen.alive.push_back(who);
         return seen;
     }
     bool sees_again(const SeenAlive& seen) const {
         auto* view = fleet.membership(seen.observer);
         auto alive = std::count_if(seen.alive.begin(), seen.alive.end(),
-                                   [&](Number who) { return view->state(who) == peers::State::Alive; });
+                                   [&](RouterIndex who) { return view->state(who) == peers::State::Alive; });
         return static_cast<double>(alive) >= complete_view * static_cast<double>(seen.alive.size());
     }
 
     void all_at_once() {
-        for (Number who = 0; who < fleet.routers(); who++) fleet.kill(who);
+        for (RouterIndex who = 0; who < fleet.routers(); who++) fleet.kill(who);
         fleet.run_for(restart_takes);
         figures.all_at_once = start_together(everybody(), options.all_at_once_limit);
     }
@@ -376,7 +378,7 @@
 class PurgeObserver {
 public:
     explicit PurgeObserver(SimulatedFleet& fleet) : fleet(fleet) {
-        fleet.on_purge = [this](Number who, const feed::PurgeNotice& notice) {
+        fleet.on_purge = [this](RouterIndex who, const feed::PurgeNotice& notice) {
             auto& arrival = arrivals[notice.object - 1][static_cast<std::size_t>(who)];
             if (arrival == 0) arrival = fleet_now() - published[notice.object - 1];
         };
@@ -392,7 +394,7 @@
     }
     std::size_t purges() const { return published.size(); }
     // Micros from publishing, 0: it has not come.
-    Micros arrival(std::size_t purge, Number who) const {
+    Micros arrival(std::size_t purge, RouterIndex who) const {
         return arrivals[purge][static_cast<std::size_t>(who)];
     }
 
@@ -421,7 +423,7 @@
         count_cost();
         fleet.run_for(options.wait);
         figures.busiest_bytes_per_s =
-            over_routers(fleet, [&](Number who) { return fleet.traffic(who).busiest_window; });
+            over_routers(fleet, [&](RouterIndex who) { return fleet.traffic(who).busiest_window; });
         count_arrivals(observer);
         figures.false_dead = deaths.take_false_declarations();
         figures.wall_seconds = wall_clock() - begun;
@@ -456,9 +458,9 @@
     void count_cost() {
         auto length = in_seconds(options.length);
         figures.bytes_per_s =
-            over_routers(fleet, [&](Number who) { return bytes_of(fleet.traffic(who)) / length; });
-        figures.cpu_percent =
-            over_routers(fleet, [&](Number who) { return 100 * fleet.traffic(who).busy_seconds / length; });
+            over_routers(fleet, [&](RouterIndex who) { return bytes_of(fleet.traffic(who)) / length; });
+        figures.cpu_percent = over_routers(
+            fleet, [&](RouterIndex who) { return 100 * fleet.traffic(who).busy_seconds / length; });
     }
 
     void count_arrivals(const PurgeObserver& observer) {
@@ -466,7 +468,7 @@
         std::uint64_t pairs = 0, missed = 0, late = 0;
         for (std::size_t purge = 0; purge < observer.purges(); purge++) {
             Micros last = 0;
-            for (Number who = 0; who < fleet.routers(); who++) {
+            for (RouterIndex who = 0; who < fleet.routers(); who++) {
                 auto arrival = observer.arrival(purge, who);
                 if (topology.at(who).region != cut_region) {
                     figures.stream_missed += arrival == 0;
@@ -485,7 +487,7 @@
         figures.facts_milliseconds = summarize(std::move(by_facts));
         figures.facts_missed_share = static_cast<double>(missed) / static_cast<double>(pairs);
         figures.facts_late_share = static_cast<double>(late) / static_cast<double>(pairs);
-        for (Number who = 0; who < fleet.routers(); who++)
+        for (RouterIndex who = 0; who < fleet.routers(); who++)
             figures.facts_refused += fleet.exchange(who)->known().refused();
     }
 
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -59,14 +59,14 @@
 
 // ---- lives
 
-peers::Start SimulatedFleet::start_of(Number who) {
+peers::Start SimulatedFleet::start_of(RouterIndex who) {
     auto& router = at(who);
     router.starts++;
     peers::Start start;
     start.self = who;
     start.routers = routers();
     start.zone = topology.at(who).zone;
-    start.life = static_cast<peers::Life>(clock(router) / millisecond);
+    start.life = static_cast<peers::Generation>(clock(router) / millisecond);
     start.seed = options.seed * seed_step + static_cast<std::uint64_t>(who) * 1'000 +
                  static_cast<std::uint64_t>(router.starts);
     start.now = clock(router);
@@ -74,7 +74,7 @@
     return start;
 }
 
-void SimulatedFleet::start(Number who) {
+void SimulatedFleet::start(RouterIndex who) {
     kill(who);
     auto& router = at(who);
     auto start = start_of(who);
@@ -87,7 +87,7 @@
     push(router.next_wake, EventKind::Wake, who, who, 0);
 }
 
-void SimulatedFleet::kill(Number who) {
+void SimulatedFleet::kill(RouterIndex who) {
     auto& router = at(who);
     router.exchange.reset();
     router.membership.reset();
@@ -95,35 +95,35 @@
 }
 
 // A datagram of `teller` with the accounts of the routers from `first` on.
-std::string SimulatedFleet::page_of(Number teller, Number first) const {
+std::string SimulatedFleet::page_of(RouterIndex teller, RouterIndex first) const {
     peers::Message page;
-    page.kind = peers::Kind::News;
+    page.type = peers::MessageType::Gossip;
     page.from = teller;
-    page.self = at(teller).membership->self();
+    page.sender_state = at(teller).membership->self();
     page.zone = topology.at(teller).zone;
-    for (Number who = first; who < std::min(first + accounts_a_page, routers()); who++)
-        if (who != teller) page.accounts.push_back({who, at(who).membership->self()});
+    for (RouterIndex who = first; who < std::min(first + accounts_a_page, routers()); who++)
+        if (who != teller) page.records.push_back({who, at(who).membership->self()});
     return peers::encode(page);
 }
 
 // Each is told of all accounts, a page at a time and by others than itself, until it has no interest left in
 // telling them on; then it hears a datagram of each router, as over the rounds of a long run.
 void SimulatedFleet::start_in_steady_state() {
-    for (Number who = 0; who < routers(); who++) start(who);
+    for (RouterIndex who = 0; who < routers(); who++) start(who);
     std::vector<Page> pages;
     std::vector<std::string> greetings;
     greetings.reserve(members.size());
-    for (Number first = 0; first < routers(); first += accounts_a_page) {
+    for (RouterIndex first = 0; first < routers(); first += accounts_a_page) {
         auto other = (first + accounts_a_page) % routers();
         if (other == first) other = (first + 1) % routers();
         pages.push_back({{first, page_of(first, first)}, {other, page_of(other, first)}});
     }
-    for (Number who = 0; who < routers(); who++) greetings.push_back(page_of(who, routers()));
-    for (Number who = 0; who < routers(); who++) introduce(who, pages, greetings);
+    for (RouterIndex who = 0; who < routers(); who++) greetings.push_back(page_of(who, routers()));
+    for (RouterIndex who = 0; who < routers(); who++) introduce(who, pages, greetings);
     reset_traffic();
 }
 
-void SimulatedFleet::introduce(Number who, const std::vector<Page>& pages,
+void SimulatedFleet::introduce(RouterIndex who, const std::vector<Page>& pages,
                                const std::vector<std::string>& greetings) {
     auto& router = at(who);
     if (router.exchange) router.exchange->at(times(router));
@@ -131,7 +131,7 @@
         auto& told = page.by_first.teller == who ? page.by_other : page.by_first;
         for (int i = 0; i < tellings; i++) router.membership->hear(told.teller, told.bytes, clock(router));
     }
-    for (Number other = 0; other < routers(); other++)
+    for (RouterIndex other = 0; other < routers(); other++)
         if (other != who)
             router.membership->hear(other, greetings[static_cast<std::size_t>(other)], clock(router));
     router.membership->outgoing();
@@ -154,7 +154,7 @@
 void SimulatedFleet::publish(const feed::PurgeNotice& notice) {
     purges.push_back(notice);
     auto slot = static_cast<std::uint32_t>(purges.size() - 1);
-    for (Number who = 0; who < routers(); who++) {
+    for (RouterIndex who = 0; who < routers(); who++) {
         auto& router = at(who);
         if (!runs(who) || router.stream_live_since == 0) continue;
         auto arrival = time + control_delay(who);
@@ -166,12 +166,12 @@
 }
 
 // From the nearest of the control machines, which stand in every second region.
-Micros SimulatedFleet::control_delay(Number who) const {
+Micros SimulatedFleet::control_delay(RouterIndex who) const {
     bool same_region = topology.at(who).region % 2 == 0;
     return same_region ? Topology::within_region : Topology::next_region;
 }
 
-void SimulatedFleet::receive_purge(Number who, const feed::PurgeNotice& notice) {
+void SimulatedFleet::receive_purge(RouterIndex who, const feed::PurgeNotice& notice) {
     if (!runs(who)) return;
     auto& router = at(who);
     if (router.exchange) router.exchange->purged(notice, times(router));
@@ -212,7 +212,7 @@
     while (time >= window_end) close_window();
 }
 
-void SimulatedFleet::push(Micros when, EventKind kind, Number from, Number to, std::uint32_t slot) {
+void SimulatedFleet::push(Micros when, EventKind kind, RouterIndex from, RouterIndex to, std::uint32_t slot) {
     events.push({std::max(when, time), next_order++, slot, static_cast<std::int16_t>(from),
                  static_cast<std::int16_t>(to), kind});
 }
@@ -230,7 +230,7 @@
 
 // One iteration of the router's loop: what came is heard, then what is due is done.
 template <class What>
-void SimulatedFleet::act(Number who, What what) {
+void SimulatedFleet::act(RouterIndex who, What what) {
     auto& router = at(who);
     if (!router.membership) return;
     auto begun = processor_seconds();
@@ -258,7 +258,7 @@
     push(due, EventKind::Wake, who, who, 0);
 }
 
-void SimulatedFleet::send(Number from, peers::Outgoing& datagram) {
+void SimulatedFleet::send(RouterIndex from, peers::Outgoing& datagram) {
     auto& router = at(from);
     router.traffic.bytes_out += datagram.bytes.size();
     router.traffic.datagrams_out++;
@@ -276,7 +276,7 @@
     push(time + delay, EventKind::Datagram, from, datagram.to, slot);
 }
 
-bool SimulatedFleet::is_cut(Number from, Number to) const {
+bool SimulatedFleet::is_cut(RouterIndex from, RouterIndex to) const {
     return cuts[cut_index(topology.at(from).zone, topology.at(to).zone)];
 }
 
@@ -304,7 +304,7 @@
 template <class Holds>
 double SimulatedFleet::share_of_live(Holds holds) const {
     int live = 0, held = 0;
-    for (Number other = 0; other < routers(); other++) {
+    for (RouterIndex other = 0; other < routers(); other++) {
         if (!runs(other)) continue;
         live++;
         held += holds(other);
@@ -312,11 +312,12 @@
     return live == 0 ? 1 : static_cast<double>(held) / live;
 }
 
-double SimulatedFleet::share_known(Number who) const {
+double SimulatedFleet::share_known(RouterIndex who) const {
     if (!runs(who)) return 0;
     auto& view = *at(who).membership;
-    return share_of_live(
-        [&](Number other) { return view.view(other, time).member_state == at(other).membership->self(); });
+    return share_of_live([&](RouterIndex other) {
+        return view.view(other, time).member_state == at(other).membership->self();
+    });
 }
 
 }  // namespace quillgrade::rig::scale
--- a/src/rig/scale/simulated_fleet.hpp
+++ b/src/rig/scale/simulated_fleet.hpp
@@ -44,19 +44,19 @@
     Micros now() const { return time; }
     int routers() const { return topology.routers(); }
     const Topology& layout() const { return topology; }
-    const peers::Membership* membership(Number who) const { return at(who).membership.get(); }
-    shared::Exchange* exchange(Number who) { return at(who).exchange.get(); }
-    bool runs(Number who) const { return at(who).membership != nullptr; }
+    const peers::Membership* membership(RouterIndex who) const { return at(who).membership.get(); }
+    shared::Exchange* exchange(RouterIndex who) { return at(who).exchange.get(); }
+    bool runs(RouterIndex who) const { return at(who).membership != nullptr; }
 
-    void start(Number who);  // a new life that knows nothing
-    void kill(Number who);
+    void start(RouterIndex who);  // a new life that knows nothing
+    void kill(RouterIndex who);
     // All routers run and know each other, as after days of quiet.
     void start_in_steady_state();
     // Datagrams from zone to zone, one direction.
     void cut_zones(int from, int to, bool cut);
     void cut_regions(int one, int other, bool cut);  // both directions
     // Whether the router's own stream from the control side is up.
-    void set_stream(Number who, bool live) { at(who).stream_live_since = live ? time : 0; }
+    void set_stream(RouterIndex who, bool live) { at(who).stream_live_since = live ? time : 0; }
     // To each router whose stream is up, by that stream: in order, and nothing is lost.
     void publish(const feed::PurgeNotice& notice);
 
@@ -66,13 +66,13 @@
 
     // Traffic is counted from here on.
     void reset_traffic();
-    const Traffic& traffic(Number who) const { return at(who).traffic; }
+    const Traffic& traffic(RouterIndex who) const { return at(who).traffic; }
     // Share of the live members whose exact account `who` holds.
-    double share_known(Number who) const;
+    double share_known(RouterIndex who) const;
 
-    std::function<void(Number observer, const peers::Change&)> on_change;
+    std::function<void(RouterIndex observer, const peers::Change&)> on_change;
     // By its own stream, or as a fact that it had not heard yet.
-    std::function<void(Number router, const feed::PurgeNotice&)> on_purge;
+    std::function<void(RouterIndex router, const feed::PurgeNotice&)> on_purge;
 
 private:
     struct Router {
@@ -86,7 +86,7 @@
         double window_bytes = 0;
     };
     struct Telling {
-        Number teller;
+        RouterIndex teller;
         std::string bytes;
     };
     // The same accounts as told by two routers, since nobody hears itself.
@@ -105,25 +105,26 @@
         }
     };
 
-    Router& at(Number who) { return members[static_cast<std::size_t>(who)]; }
-    const Router& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
+    Router& at(RouterIndex who) { return members[static_cast<std::size_t>(who)]; }
+    const Router& at(RouterIndex who) const { return members[static_cast<std::size_t>(who)]; }
     Micros clock(const Router& router) const { return time + router.skew; }
     shared::Times times(const Router& router) const { return {clock(router), time}; }
-    peers::Start start_of(Number who);
-    std::string page_of(Number teller, Number first) const;
-    void introduce(Number who, const std::vector<Page>& pages, const std::vector<std::string>& greetings);
-    void push(Micros when, EventKind kind, Number from, Number to, std::uint32_t slot);
-    void wake(Number who);
+    peers::Start start_of(RouterIndex who);
+    std::string page_of(RouterIndex teller, RouterIndex first) const;
+    void introduce(RouterIndex who, const std::vector<Page>& pages,
+                   const std::vector<std::string>& greetings);
+    void push(Micros when, EventKind kind, RouterIndex from, RouterIndex to, std::uint32_t slot);
+    void wake(RouterIndex who);
     void deliver(const Event& event);
     template <class What>
-    void act(Number who, What what);
-    void send(Number from, peers::Outgoing& datagram);
+    void act(RouterIndex who, What what);
+    void send(RouterIndex from, peers::Outgoing& datagram);
     void close_window();
-    Micros control_delay(Number who) const;
-    void receive_purge(Number who, const feed::PurgeNotice& notice);
+    Micros control_delay(RouterIndex who) const;
+    void receive_purge(RouterIndex who, const feed::PurgeNotice& notice);
     template <class Holds>
     double share_of_live(Holds holds) const;
-    bool is_cut(Number from, Number to) const;
+    bool is_cut(RouterIndex from, RouterIndex to) const;
     double chance_below_one();
 
     Topology topology;
--- a/src/rig/scale/topology.cpp
+++ b/src/rig/scale/topology.cpp
@@ -73,23 +73,23 @@
     for (auto& one : placements) one.load *= routers / total;
 }
 
-std::vector<Number> Topology::in_site(int site) const {
-    std::vector<Number> found;
-    for (Number who = 0; who < routers(); who++)
+std::vector<RouterIndex> Topology::in_site(int site) const {
+    std::vector<RouterIndex> found;
+    for (RouterIndex who = 0; who < routers(); who++)
         if (at(who).site == site) found.push_back(who);
     return found;
 }
 
-std::vector<Number> Topology::in_zone(int zone) const {
-    std::vector<Number> found;
-    for (Number who = 0; who < routers(); who++)
+std::vector<RouterIndex> Topology::in_zone(int zone) const {
+    std::vector<RouterIndex> found;
+    for (RouterIndex who = 0; who < routers(); who++)
         if (at(who).zone == zone) found.push_back(who);
     return found;
 }
 
-std::vector<Number> Topology::in_region(int region) const {
-    std::vector<Number> found;
-    for (Number who = 0; who < routers(); who++)
+std::vector<RouterIndex> Topology::in_region(int region) const {
+    std::vector<RouterIndex> found;
+    for (RouterIndex who = 0; who < routers(); who++)
         if (at(who).region == region) found.push_back(who);
     return found;
 }
@@ -124,7 +124,7 @@
     return static_cast<int>(std::max_element(sizes.begin(), sizes.end()) - sizes.begin());
 }
 
-Micros Topology::delay(Number from, Number to) const {
+Micros Topology::delay(RouterIndex from, RouterIndex to) const {
     auto &one = at(from), &other = at(to);
     if (one.site == other.site) return within_site;
     if (one.zone == other.zone) return within_zone;
--- a/src/rig/scale/topology.hpp
+++ b/src/rig/scale/topology.hpp
@@ -10,7 +10,7 @@
 namespace quillgrade::rig::scale {
 
 using peers::Micros;
-using peers::Number;
+using peers::RouterIndex;
 
 // The size that the capacity plan is made for.
 inline constexpr int planned_routers = 5'900, planned_sites = 480, planned_zones = 27, planned_regions = 12;
@@ -34,12 +34,12 @@
     int sites() const { return site_count; }
     static int zones() { return planned_zones; }
     static int regions() { return planned_regions; }
-    const Placement& at(Number who) const { return placements[static_cast<std::size_t>(who)]; }
+    const Placement& at(RouterIndex who) const { return placements[static_cast<std::size_t>(who)]; }
     int region_of_zone(int zone) const { return zone_regions[static_cast<std::size_t>(zone)]; }
 
-    std::vector<Number> in_site(int site) const;
-    std::vector<Number> in_zone(int zone) const;
-    std::vector<Number> in_region(int region) const;
+    std::vector<RouterIndex> in_site(int site) const;
+    std::vector<RouterIndex> in_zone(int zone) const;
+    std::vector<RouterIndex> in_region(int region) const;
     // The zone with the number of routers nearest to a planned_zones-th of all.
     int typical_zone() const;
     // The regions with the most routers, largest first.
@@ -47,7 +47,7 @@
     int largest_site_index() const;
 
     // One way, the shortest; what queues add comes on top.
-    Micros delay(Number from, Number to) const;
+    Micros delay(RouterIndex from, RouterIndex to) const;
 
 private:
     std::vector<Placement> placements;
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -20,7 +20,7 @@
 constexpr Micros clocks_apart = 250 * ms;
 constexpr double spare_datagram = 120;  // bytes, about
 
-QuotaTerms quota_terms(const peers::Membership& membership, const Terms& terms, Number self) {
+QuotaTerms quota_terms(const peers::Membership& membership, const Terms& terms, RouterIndex self) {
     QuotaTerms made;
     made.self = self;
     made.routers = membership.routers();
@@ -67,7 +67,7 @@
 
 // ---- what comes
 
-void Exchange::unload(Number from, Life life, std::string_view bytes, Micros /*now*/) {
+void Exchange::unload(RouterIndex from, Generation life, std::string_view bytes, Micros /*now*/) {
     auto load = decode(bytes, last.unix);
     if (load)
         take(from, life, *load, last);
@@ -75,7 +75,7 @@
         seen.malformed++;
 }
 
-void Exchange::take(Number from, Life life, const Payload& load, const Times& now) {
+void Exchange::take(RouterIndex from, Generation life, const Payload& load, const Times& now) {
     if (terms.parts.facts) {
         for (auto& fact : load.facts) seen.facts_heard += facts.hear(fact, now.unix, from);
         if (load.digest != facts.digest(now.unix)) unlike[static_cast<std::size_t>(from)] = true;
@@ -146,7 +146,7 @@
             return false;
         });
         quotas.list(told, now.steady);
-        auto there = [&](Number who) {
+        auto there = [&](RouterIndex who) {
             auto state = membership.state(who);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
@@ -196,7 +196,7 @@
     if (now.unix < mend_at) return;
     auto behind = std::find(unlike.begin(), unlike.end(), true);
     if (behind == unlike.end()) return;
-    auto who = static_cast<Number>(behind - unlike.begin());
+    auto who = static_cast<RouterIndex>(behind - unlike.begin());
     if (membership.state(who) != peers::State::Alive)
         *behind = false;  // a datagram of its own says so anew
     else if (membership.insist(who, now.unix))
@@ -266,7 +266,7 @@
 int Exchange::heard_routers() const {
     if (!terms.parts.counts) return 1;
     int count = 1;
-    for (Number who = 0; who < membership.routers(); who++)
+    for (RouterIndex who = 0; who < membership.routers(); who++)
         if (who != membership.number_of_self() && membership.state(who) == peers::State::Alive &&
             membership.zone_of(who) == membership.own_zone())
             count++;
@@ -275,7 +275,7 @@
 
 // ---- what rides along
 
-std::string Exchange::load(Number to, std::size_t room, Micros now) {
+std::string Exchange::load(RouterIndex to, std::size_t room, Micros now) {
     Payload load;
     load.terms = terms.parts.quotas ? hash : 0;
     load.digest = terms.parts.facts ? facts.digest(now) : 0;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -80,8 +80,8 @@
     int asked(ObjectId object, const Times& now);
     int heard_routers() const;  // of the location, this one included
 
-    std::string load(Number to, std::size_t room, Micros now) override;
-    void unload(Number from, Life life, std::string_view bytes, Micros now) override;
+    std::string load(RouterIndex to, std::size_t room, Micros now) override;
+    void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) override;
 
     struct Figures {
         std::uint64_t malformed = 0, other_terms = 0, facts_heard = 0, counts_heard = 0, complaints_heard = 0,
@@ -100,7 +100,7 @@
         std::vector<Grant> grants;
         Micros at = 0;
     };
-    void take(Number from, Life life, const Payload& load, const Times& now);
+    void take(RouterIndex from, Generation life, const Payload& load, const Times& now);
     void tell_facts(const Times& now);
     bool is_parent(const ListEntry& entry) const { return entry.kind == terms.site.parent_kind; }
 
@@ -117,7 +117,7 @@
     Breadth breadth;
     Micros complaints_at = 0, spare_at = 0, mend_at = 0, expire_at = 0, differed_at = 0;
     std::size_t complaint_turn = 0;
-    std::map<Number, Out> out;
+    std::map<RouterIndex, Out> out;
     std::vector<bool> unlike;  // by router: its facts differ from mine
     bool facts_wait = false;   // some are to be told, and the bytes for it are being saved up
     Times last{};
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -82,7 +82,7 @@
 
 // ---- what others say
 
-bool Facts::hear(const Fact& fact, Micros now, Number from) {
+bool Facts::hear(const Fact& fact, Micros now, RouterIndex from) {
     if (fact.about != About::Server && fact.time > in_ms(now + clocks_apart)) return false;
     auto* known = enter(fact, false, now);
     if (!known) return false;
@@ -230,7 +230,7 @@
 
 // Guards against a cost that grows with what waits: a burst of purges fills the queue, and this is asked for
 // each datagram.
-std::vector<Fact> Facts::next(std::size_t most_now, Micros now, Number to) {
+std::vector<Fact> Facts::next(std::size_t most_now, Micros now, RouterIndex to) {
     std::vector<Fact> told;
     std::vector<Key> taken;
     while (taken.size() < most_now && !waiting.empty()) {
--- a/src/shared/facts.hpp
+++ b/src/shared/facts.hpp
@@ -33,7 +33,7 @@
 
 namespace quillgrade::shared {
 
-using peers::Number;
+using peers::RouterIndex;
 
 enum class About : std::uint8_t { Server, Object, Group };
 
@@ -56,7 +56,7 @@
     Facts(Micros purge_done, int routers);
 
     static constexpr std::size_t most = 2048;
-    static constexpr Number nobody = -1;
+    static constexpr RouterIndex nobody = -1;
     static constexpr Micros contradicted = 8'000'000;  // what is told counts after 7 s whether it came or not
     static constexpr Micros told_for = 60'000'000;     // from birth
     static constexpr Micros clocks_apart = 5'000'000;  // later purges than that are no purges
@@ -66,7 +66,7 @@
     feed::Listing listed(feed::Listing told, Micros now);
     void purged(const feed::PurgeNotice& notice, Micros now);
     // From another router, `from`. True where it is news.
-    bool hear(const Fact& fact, Micros now, Number from = nobody);
+    bool hear(const Fact& fact, Micros now, RouterIndex from = nobody);
     // `live`: since when this router hears its own coordinator without a break, 0: it does not. What has
     // changed for the router since the last call: servers that are closed or open again, and purges.
     struct Changes {
@@ -79,7 +79,7 @@
 
     bool news() const;  // some that fewer than three were told yet
     // To tell router `to`; they count as told. What `to` itself told first is left out, and doesn't count.
-    std::vector<Fact> next(std::size_t most, Micros now, Number to = nobody);
+    std::vector<Fact> next(std::size_t most, Micros now, RouterIndex to = nobody);
     void untold(const Fact& fact);  // there was no room for it after all
     // A hash of all that should be known everywhere by now, and facts in turn for one who knows otherwise.
     std::uint32_t digest(Micros now) const;
@@ -93,14 +93,14 @@
     using Key = std::pair<About, std::uint64_t>;
     struct Known {
         Fact fact;
-        bool own = false;         // this router's own coordinator says so too
-        bool lapsed = false;      // its own list says otherwise, and has the word
-        bool to_do = false;       // to be told to the router
-        Number teller = nobody;   // who was heard saying it first; nobody: the own coordinator
-        int passed_over = 0;      // datagrams to the teller that left it out
-        Micros heard = 0;         // when it became what it is, here
-        int left = 0;             // times to tell; above 0 it stands in `waiting`
-        std::uint64_t order = 0;  // later ones became what they are later
+        bool own = false;             // this router's own coordinator says so too
+        bool lapsed = false;          // its own list says otherwise, and has the word
+        bool to_do = false;           // to be told to the router
+        RouterIndex teller = nobody;  // who was heard saying it first; nobody: the own coordinator
+        int passed_over = 0;          // datagrams to the teller that left it out
+        Micros heard = 0;             // when it became what it is, here
+        int left = 0;                 // times to tell; above 0 it stands in `waiting`
+        std::uint64_t order = 0;      // later ones became what they are later
     };
     // To tell: the last one first, which was told least often and, of those told as often, is the newest.
     struct Waiting {
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void HealthReports::hear(Number witness, int zone, double trust, const Breadth& breadth,
+void HealthReports::hear(RouterIndex witness, int zone, double trust, const Breadth& breadth,
                          const Complaint& complaint, Micros now) {
     if (complaint.age >= life || !(complaint.samples > 0)) return;
     auto of = held.find(complaint.server);
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -26,8 +26,8 @@
 
 namespace quillgrade::shared {
 
-using peers::Life;
-using peers::Number;
+using peers::Generation;
+using peers::RouterIndex;
 
 struct Complaint {
     CacheId server = 0;
@@ -48,7 +48,7 @@
     static constexpr double most_samples = 4;
     static constexpr std::size_t most = 1024;  // complaints kept
 
-    void hear(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
+    void hear(RouterIndex witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
               Micros now);
     // `start`: in the list that this router has.
     Hearsay weigh(CacheId server, std::uint64_t start, Micros now) const;
@@ -66,7 +66,7 @@
         double trust;
         bool doubted;
     };
-    std::map<CacheId, std::map<Number, Held>> held;
+    std::map<CacheId, std::map<RouterIndex, Held>> held;
     std::size_t count = 0;
     std::uint64_t seen_refused = 0;
 };
--- a/src/shared/quotas.cpp
+++ b/src/shared/quotas.cpp
@@ -23,13 +23,13 @@
 
 // Drawn by hash, so that servers of one kind that start together have different ones; where there are as many
 // owners as routers each always has its own part.
-std::vector<Number> Quotas::owners_of(CacheId server, std::uint64_t start) const {
+std::vector<RouterIndex> Quotas::owners_of(CacheId server, std::uint64_t start) const {
     auto count = std::min(terms.owners, terms.routers);
-    std::vector<Number> drawn;
+    std::vector<RouterIndex> drawn;
     for (int i = 0; i < count; i++) {
         const std::array<std::uint64_t, 3> words = {server, start, static_cast<std::uint64_t>(i)};
-        auto one = static_cast<Number>(XXH64(words.data(), sizeof words, 0) %
-                                       static_cast<std::uint64_t>(terms.routers));
+        auto one = static_cast<RouterIndex>(XXH64(words.data(), sizeof words, 0) %
+                                            static_cast<std::uint64_t>(terms.routers));
         while (std::find(drawn.begin(), drawn.end(), one) != drawn.end()) one = (one + 1) % terms.routers;
         drawn.push_back(one);
     }
@@ -241,7 +241,7 @@
 }
 
 // A lease of that owner that runs goes on, for more if more is wanted.
-Ask Quotas::sent(CacheId id, Server& server, Number owner, Micros now) {
+Ask Quotas::sent(CacheId id, Server& server, RouterIndex owner, Micros now) {
     if (++number == 0) number = 1;
     Ask ask{id, static_cast<std::uint32_t>(server.start), number, 0, server.usual, 0};
     auto more = std::max(server.usual, wish(server, now) * share_asked_for);
@@ -258,7 +258,7 @@
     return ask;
 }
 
-void Quotas::granted(Number from, const Grant& grant, Micros now) {
+void Quotas::granted(RouterIndex from, const Grant& grant, Micros now) {
     auto found = servers.find(grant.server);
     if (found == servers.end()) return;
     auto& server = found->second;
@@ -297,7 +297,7 @@
 
 // ---- the owner's side
 
-void Quotas::asked(Number from, Life life, const Ask& ask, Micros now) {
+void Quotas::asked(RouterIndex from, Generation life, const Ask& ask, Micros now) {
     auto found = servers.find(ask.server);
     if (found == servers.end() || from == terms.self) return;
     auto& server = found->second;
--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -44,11 +44,11 @@
 
 namespace quillgrade::shared {
 
-using peers::Life;
-using peers::Number;
+using peers::Generation;
+using peers::RouterIndex;
 
 struct QuotaTerms {
-    Number self = 0;
+    RouterIndex self = 0;
     int routers = 1;
     int owners = 4;             // of each server's budget at a time; all routers need the same
     Micros window = 1'000'000;  // over which the settings bound the work
@@ -81,7 +81,7 @@
 };
 template <class What>
 struct Posted {
-    Number to;
+    RouterIndex to;
     What what;
 };
 
@@ -129,11 +129,11 @@
         return out;
     }
     // What can't be granted at once waits for a while: for each borrower its last ask.
-    void asked(Number from, Life life, const Ask& ask, Micros now);
+    void asked(RouterIndex from, Generation life, const Ask& ask, Micros now);
     std::vector<Posted<Grant>> grants(Micros now);
-    void granted(Number from, const Grant& grant, Micros now);
+    void granted(RouterIndex from, const Grant& grant, Micros now);
 
-    std::vector<Number> owners_of(CacheId server, std::uint64_t start) const;
+    std::vector<RouterIndex> owners_of(CacheId server, std::uint64_t start) const;
     // Bytes aside, what an onlooker may want to know.
     struct Figures {
         std::uint64_t asked = 0, granted = 0, borrowed = 0, renewed = 0, refused = 0, bounded = 0, used = 0;
@@ -143,7 +143,7 @@
     // loan's end; and what is borrowed, and used of that.
     struct Shares {
         double part = 0, used = 0, lent = 0, ending = 0, borrowed = 0, borrowed_used = 0;
-        std::vector<Number> borrowers{};
+        std::vector<RouterIndex> borrowers{};
     };
     Shares shares(CacheId id, Micros now);
     // What decides what it does from now on, times as lengths from `now`, for explorers (model/leases.cpp).
@@ -159,28 +159,28 @@
     };
     // Something to use: the own part, or a lease.
     struct Pot {
-        Number owner;
+        RouterIndex owner;
         std::uint32_t lease = 0;  // the number of its first ask
         double amount = 0;
         Micros until = 0;  // of the lease
         std::vector<Use> uses{};
     };
     struct Lent {
-        Number to;
-        Life life;
+        RouterIndex to;
+        Generation life;
         std::uint32_t lease;
         double amount;
         Micros until;  // blocked
     };
     struct Waiting {  // an ask that may be granted soon
-        Number from;
-        Life life;
+        RouterIndex from;
+        Generation life;
         Ask ask;
         Micros until;
     };
     struct Open {  // an ask that may still be granted
         std::uint32_t number = 0;
-        Number owner = -1;
+        RouterIndex owner = -1;
         Micros asked = 0;
         double amount = 0;
         std::uint32_t renews = 0;
@@ -188,7 +188,7 @@
     struct Server {
         std::uint64_t start = 0;
         double whole = 0;
-        std::vector<Number> owners{};
+        std::vector<RouterIndex> owners{};
         int parts = 0;            // of the owners' that are this router's
         std::vector<Pot> pots{};  // the own part first, if there is one
         std::vector<Lent> lent{};
@@ -199,8 +199,8 @@
         std::vector<Waiting> waiting{};
         std::size_t turn = 0;
         bool due = false;
-        Number renewing = -1;  // whose lease is to go on, -1: whoever has some
-        Micros listed = 0;     // when it was last told to be cold
+        RouterIndex renewing = -1;  // whose lease is to go on, -1: whoever has some
+        Micros listed = 0;          // when it was last told to be cold
     };
     // A borrower waits for an answer so long; an owner keeps an ask for less, so that its answer is still
     // awaited.
@@ -208,7 +208,7 @@
     static constexpr std::size_t most_waiting = 64;
 
     void plan(CacheId id, Server& server, Micros now);
-    Ask sent(CacheId id, Server& server, Number owner, Micros now);
+    Ask sent(CacheId id, Server& server, RouterIndex owner, Micros now);
     double used(Pot& pot, Micros now) const;
     static double blocked(Server& server, Micros now);
     static double part(const Server& server);
--- a/src/shared/request_counts.cpp
+++ b/src/shared/request_counts.cpp
@@ -8,12 +8,12 @@
 
 namespace quillgrade::shared {
 
-std::uint32_t RequestCounts::bit_of(Number router) {
+std::uint32_t RequestCounts::bit_of(RouterIndex router) {
     auto number = static_cast<std::uint32_t>(router);
     return 1U << (XXH32(&number, sizeof number, 0) % 32);
 }
 
-RequestCounts::RequestCounts(Number self, int routers)
+RequestCounts::RequestCounts(RouterIndex self, int routers)
     : mine(bit_of(self)), times(1 + static_cast<int>(std::ceil(std::log2(routers + 1.0)))) {}
 
 void RequestCounts::turn(Micros now) {
--- a/src/shared/request_counts.hpp
+++ b/src/shared/request_counts.hpp
@@ -22,7 +22,7 @@
 
 namespace quillgrade::shared {
 
-using peers::Number;
+using peers::RouterIndex;
 
 struct Count {
     std::uint64_t name = 0;
@@ -37,7 +37,7 @@
     static constexpr std::size_t most = 2048;  // names
     static constexpr int saturated = 6;        // askers from which on a name is no more news
 
-    RequestCounts(Number self, int routers);
+    RequestCounts(RouterIndex self, int routers);
     // This router is asked for it; answers how many others of the location were, as far as is known.
     int asked(std::uint64_t name, Micros now);
     int elsewhere(std::uint64_t name, Micros now) const;
@@ -48,7 +48,7 @@
     std::size_t size() const { return names.size(); }
     std::uint64_t dropped() const { return seen_dropped; }
 
-    static std::uint32_t bit_of(Number router);
+    static std::uint32_t bit_of(RouterIndex router);
     static std::uint32_t epoch_of(Micros now) { return static_cast<std::uint32_t>(now / epoch_lasts); }
 
 private:
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr Micros second = 1'000'000, noon_at = 1'764'576'000 * second;
-constexpr Number speaker = 1, listener = 2, other = 3;
-constexpr Life life = 500;
+constexpr RouterIndex speaker = 1, listener = 2, other = 3;
+constexpr Generation life = 500;
 
-std::string datagram(Number from, Kind kind, const LinkReport& report) {
+std::string datagram(RouterIndex from, MessageType type, const LinkReport& report) {
     Message message;
     message.from = from;
-    message.self = {life, Phase::Here, 0, Verdict::Alive, false};
-    message.kind = kind;
+    message.sender_state = {life, Phase::Present, 0, Liveness::Alive, false};
+    message.type = type;
     message.link_reports = {report};
     return encode(message);
 }
@@ -32,10 +32,10 @@
     return Membership(start);
 }
 
-bool holds_cut(const Membership& membership, Number from, Number to) {
+bool holds_cut(const Membership& membership, RouterIndex from, RouterIndex to) {
     auto cuts = membership.cuts();
     return std::any_of(cuts.begin(), cuts.end(),
-                       [&](auto& cut) { return cut.speaker == from && cut.listener == to; });
+                       [&](auto& cut) { return cut.sender == from && cut.receiver == to; });
 }
 
 // How many of the reports that `membership` sends now tell the end of the cut.
@@ -45,7 +45,7 @@
         auto decoded = decode(sent.bytes, 4, noon_at);
         REQUIRE(decoded.message.has_value());
         for (auto& report : decoded.message->link_reports)
-            told += !report.cut && report.speaker == speaker && report.listener == listener;
+            told += !report.down && report.sender == speaker && report.receiver == listener;
     }
     return told;
 }
@@ -86,28 +86,31 @@
 
 TEST_CASE("a digest with a cut that has ended is answered with its end, however often that was told") {
     auto membership = router_of_four();
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 1, true}), noon_at);
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
+    membership.hear(listener, datagram(listener, MessageType::Gossip, {speaker, listener, 1, true}), noon_at);
+    membership.hear(listener, datagram(listener, MessageType::Gossip, {speaker, listener, 2, false}),
+                    noon_at);
     REQUIRE(!holds_cut(membership, speaker, listener));
     // Pings are answered with what is news here until it has been told often enough.
     int told = 0;
     for (int i = 0; i < 20; i++) {
         auto now = noon_at + second * (i + 1);
-        membership.hear(other, datagram(other, Kind::Ping, {speaker, listener, 1, true}), now);
+        membership.hear(other, datagram(other, MessageType::Ping, {speaker, listener, 1, true}), now);
         told = ends_told(membership);
     }
     REQUIRE(told == 0);
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}),
+    membership.hear(other, datagram(other, MessageType::Digest, {speaker, listener, 1, true}),
                     noon_at + 21 * second);
     CHECK(ends_told(membership) == 1);
 }
 
 TEST_CASE("a cut that is known here as told by a digest, or told anew since its end, is not answered") {
     auto membership = router_of_four();
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
-    membership.hear(listener, datagram(listener, Kind::News, {speaker, listener, 3, true}), noon_at);
+    membership.hear(listener, datagram(listener, MessageType::Gossip, {speaker, listener, 2, false}),
+                    noon_at);
+    membership.hear(listener, datagram(listener, MessageType::Gossip, {speaker, listener, 3, true}), noon_at);
     membership.outgoing();
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 3, true}), noon_at + second);
+    membership.hear(other, datagram(other, MessageType::Digest, {speaker, listener, 3, true}),
+                    noon_at + second);
     CHECK(ends_told(membership) == 0);
     CHECK(holds_cut(membership, speaker, listener));
 }
@@ -115,20 +118,21 @@
 // Else two routers could tell each other of it for good after its listener has gone.
 TEST_CASE("a cut is not taken over from a digest") {
     auto membership = router_of_four();
-    membership.hear(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}), noon_at);
+    membership.hear(other, datagram(other, MessageType::Digest, {speaker, listener, 1, true}), noon_at);
     CHECK(!holds_cut(membership, speaker, listener));
-    membership.hear(other, datagram(other, Kind::News, {speaker, listener, 1, true}), noon_at);
+    membership.hear(other, datagram(other, MessageType::Gossip, {speaker, listener, 1, true}), noon_at);
     CHECK(holds_cut(membership, speaker, listener));
 }
 
 TEST_CASE("digests tell all cuts in turn") {
-    constexpr Number cuts = 20;
+    constexpr RouterIndex cuts = 20;
     constexpr std::size_t a_digest = 6;
     Reachability reachability(0);
-    for (Number who = 1; who <= cuts; who++) reachability.told({who, who + 1, 1, true}, life, noon_at);
-    std::vector<Number> told;
+    for (RouterIndex who = 1; who <= cuts; who++)
+        reachability.merge_report({who, who + 1, 1, true}, life, noon_at);
+    std::vector<RouterIndex> told;
     for (int i = 0; i < 4; i++)
-        for (auto& report : reachability.next_cuts(a_digest)) told.push_back(report.speaker);
+        for (auto& report : reachability.next_down_links(a_digest)) told.push_back(report.sender);
     std::sort(told.begin(), told.end());
     told.erase(std::unique(told.begin(), told.end()), told.end());
     CHECK(told.size() == cuts);
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -46,13 +46,13 @@
         fleet->start_all();
         feed::Listing all{true, {}};
         for (CacheId id = 1; id <= servers; id++) all.caches.push_back(server(id));
-        for (Number who = 0; who < routers; who++) list(who, all);
+        for (RouterIndex who = 0; who < routers; who++) list(who, all);
     }
-    void list(Number who, const feed::Listing& listing) {
+    void list(RouterIndex who, const feed::Listing& listing) {
         fleet->visit(
             who, [&](rig::Partner& one) { one.exchange().listed(listing, one.times(fleet->clock(who))); });
     }
-    void drain(Number who, CacheId id, Micros started) {
+    void drain(RouterIndex who, CacheId id, Micros started) {
         list(who, {false, {server(id, Listed::Draining, started)}});
     }
     void go(Micros time) {
@@ -60,7 +60,7 @@
         boost::random::uniform_int_distribution<ObjectId> object(1, 2000);
         for (auto until = fleet->now() + time; fleet->now() < until;) {
             fleet->run_until(fleet->now() + step);
-            for (Number who = 0; who < fleet->count(); who++)
+            for (RouterIndex who = 0; who < fleet->count(); who++)
                 fleet->visit(who, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(who));
                     bool asks =
@@ -76,13 +76,13 @@
         REQUIRE(all_alive());
     }
     bool all_alive() {
-        for (Number who = 0; who < fleet->count(); who++)
-            for (Number other = 0; other < fleet->count(); other++)
+        for (RouterIndex who = 0; who < fleet->count(); who++)
+            for (RouterIndex other = 0; other < fleet->count(); other++)
                 if (fleet->protocol(who)->membership().state(other) != peers::State::Alive) return false;
         return true;
     }
     // Router `who` is shown a payload of `from` that tells of other facts than its own.
-    void show_other_digest(Number from, Number who) {
+    void show_other_digest(RouterIndex from, RouterIndex who) {
         Payload other;
         other.digest = 0x5eed;
         fleet->visit(who, [&](rig::Partner& one) {
@@ -94,7 +94,7 @@
     }
 
     // Router `who` sends to another until an own datagram for the sharing has to wait.
-    void use_up_bytes(Number who, Number to) {
+    void use_up_bytes(RouterIndex who, RouterIndex to) {
         fleet->visit(who, [&](rig::Partner& one) {
             while (one.membership().tell(to, true, fleet->clock(who))) {
             }
@@ -124,7 +124,7 @@
     Tier tier(6, seed, 20, {0.05, 3 * ms, 24 * ms, 0, 0});
     tier.go_until_all_are_alive();
     tier.go(second);
-    for (Number who = 1; who < tier.fleet->count(); who++) {
+    for (RouterIndex who = 1; who < tier.fleet->count(); who++) {
         tier.fleet->protocol(who)->live = 0;
         tier.fleet->cut(who, 0, true);
     }
@@ -132,7 +132,8 @@
     tier.drain(0, 1, tier.fleet->now());
     tier.go(time);
     int behind = 0;
-    for (Number who = 1; who < tier.fleet->count(); who++) behind += tier.fleet->protocol(who)->closed == 0;
+    for (RouterIndex who = 1; who < tier.fleet->count(); who++)
+        behind += tier.fleet->protocol(who)->closed == 0;
     return behind;
 }
 
@@ -152,7 +153,7 @@
         INFO("seed ", seed);
         Tier tier(8, seed, 50, {});
         tier.go_until_all_are_alive();
-        for (Number who = 0; who < tier.fleet->count(); who++) tier.drain(who, 1, 0);
+        for (RouterIndex who = 0; who < tier.fleet->count(); who++) tier.drain(who, 1, 0);
         tier.go(5 * second);
         bool told = false, shown = false;
         int datagrams = 0, with_counts = 0;
@@ -183,7 +184,7 @@
     int told = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
-        told += from == 1 && to == 0 && sent && sent->message.kind == peers::Kind::News &&
+        told += from == 1 && to == 0 && sent && sent->message.type == peers::MessageType::Gossip &&
                 !sent->message.payload.empty();
     };
     tier.show_other_digest(0, 1);
@@ -209,7 +210,7 @@
 }
 
 TEST_CASE("tellings are not used up on the router that told the fact, yet end where there is no other") {
-    constexpr Number teller = 3, other = 4;
+    constexpr RouterIndex teller = 3, other = 4;
     constexpr Micros now = 1'764'576'000 * second;
     Facts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
     Fact drain{About::Server, 7, 0, false, now / ms};
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -26,7 +26,7 @@
             if (change.after == State::Dead && this->sim.runs(change.who)) false_dead++;
         };
     }
-    int count(State state, Number who = -1) const {
+    int count(State state, RouterIndex who = -1) const {
         int sum = 0;
         for (auto& one : seen) sum += one.change.after == state && (who < 0 || one.change.who == who);
         return sum;
@@ -63,12 +63,12 @@
 }
 
 // A datagram as router `from` would send it.
-std::string telling(Simulated<>& sim, Number from, Account account) {
+std::string telling(Simulated<>& sim, RouterIndex from, MemberRecord account) {
     Message message;
     message.from = from;
-    message.self = sim.protocol(from)->self();
-    message.kind = Kind::News;
-    message.accounts = {account};
+    message.sender_state = sim.protocol(from)->self();
+    message.type = MessageType::Gossip;
+    message.records = {account};
     return encode(message);
 }
 
@@ -77,7 +77,8 @@
 bool restarted_at_once() {
     Simulated<> sim(8, 2, 3, {}, {0.05, 3 * ms, 24 * ms, 0.02, 0.05});
     settle(sim);
-    auto old = telling(sim, 2, {4, {sim.protocol(4)->self().life, Phase::Here, 90, Verdict::Dead, false}});
+    auto old =
+        telling(sim, 2, {4, {sim.protocol(4)->self().generation, Phase::Present, 90, Liveness::Dead, false}});
     sim.kill(4);
     sim.run_until(sim.now() + 100 * ms);
     sim.start(4);
@@ -101,11 +102,12 @@
     // Somebody who was behind tells of it as alive, with an incarnation beyond its last.
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1)
-            sim.protocol(i)->hear(
-                1,
-                telling(sim, 1,
-                        {5, {before.life, Phase::Here, before.incarnation + 50, Verdict::Alive, false}}),
-                sim.clock(i));
+            sim.protocol(i)->hear(1,
+                                  telling(sim, 1,
+                                          {5,
+                                           {before.generation, Phase::Present, before.incarnation + 50,
+                                            Liveness::Alive, false}}),
+                                  sim.clock(i));
     sim.run_until(sim.now() + 5 * second);
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1 && sim.protocol(i)->state(5) != State::Gone) return false;
@@ -171,9 +173,9 @@
 bool strangers_unheard() {
     Simulated<> sim(5, 1, 15);
     settle(sim);
-    auto life = sim.protocol(4)->self().life;
+    auto life = sim.protocol(4)->self().generation;
     for (int i = 0; i < 4; i++)
-        sim.protocol(i)->hear(-1, telling(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
+        sim.protocol(i)->hear(-1, telling(sim, 2, {4, {life, Phase::Gone, 0, Liveness::Alive, false}}),
                               sim.clock(i));
     return sim.protocol(0)->state(4) == State::Alive;
 }
@@ -203,7 +205,7 @@
     int know = 0;
     for (int i = 0; i < 8; i++) {
         auto cuts = sim.protocol(i)->cuts();
-        know += cuts.size() == 1 && cuts[0].speaker == 2 && cuts[0].listener == 6;
+        know += cuts.size() == 1 && cuts[0].sender == 2 && cuts[0].receiver == 6;
     }
     bool held = know == 8 && sim.protocol(6)->state(2) == State::Silent && watch.false_dead == 0 &&
                 watch.count(State::Suspected) == 0 && watch.seen.size() == 1;
@@ -225,15 +227,15 @@
     settle(sim);
     Message ping;
     ping.from = 1;
-    ping.kind = Kind::Ping;
-    ping.self = sim.protocol(1)->self();
+    ping.type = MessageType::Ping;
+    ping.sender_state = sim.protocol(1)->self();
     auto before = sim.figures(0).bytes_sent;
     for (int i = 0; i < 10'000; i++) {
         sim.protocol(0)->hear(1, encode(ping), sim.clock(0));
         sim.run_until(sim.now() + ms);
     }
     // Ten seconds, and two seconds' worth at once.
-    return sim.figures(0).bytes_sent - before <= std::uint64_t{300} * 12 + longest;
+    return sim.figures(0).bytes_sent - before <= std::uint64_t{300} * 12 + max_datagram_bytes;
 }
 
 bool asks_before_judging() {
@@ -243,15 +245,15 @@
     start.life = 1000;
     Membership membership(start);
     auto now = start.now;
-    auto tell = [&](Number from, Account account, std::vector<Accusation> accusations) {
+    auto tell = [&](RouterIndex from, MemberRecord account, std::vector<SuspicionReport> accusations) {
         Message message;
         message.from = from;
-        message.self = {500, Phase::Here, 0, Verdict::Alive, false};
-        message.accounts = {account};
-        message.accusations = std::move(accusations);
+        message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
+        message.records = {account};
+        message.suspicions = std::move(accusations);
         membership.hear(from, encode(message), now);
     };
-    tell(1, {3, {400, Phase::Here, 0, Verdict::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
+    tell(1, {3, {400, Phase::Present, 0, Liveness::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
     auto judged_at = now + start.rates.shortest;
     while (now < judged_at - 20 * ms) membership.pass(now += 10 * ms);
     now += 5 * second;  // stopped just before it would have judged
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -86,7 +86,7 @@
                 judged.used_share, " used");
         return judged.exceeded == 0 && judged.lookups > 20;
     }
-    std::vector<Number> owners() const {
+    std::vector<RouterIndex> owners() const {
         QuotaTerms terms;
         terms.routers = fleet->count();
         return Quotas(terms).owners_of(parent, static_cast<std::uint64_t>(started / ms));
@@ -150,7 +150,7 @@
     }
     Grant lend() {
         borrower->missed(server, 100'000, 100'000, 0);
-        owner->asked(1, 1, borrower->asks([](Number) { return true; }, 0).at(0).what, 0);
+        owner->asked(1, 1, borrower->asks([](RouterIndex) { return true; }, 0).at(0).what, 0);
         return owner->grants(0).at(0).what;
     }
     CacheId server = 1;
@@ -195,7 +195,7 @@
     terms.now = -1000 * second;
     CacheId server = 1;
     while (Quotas(terms).owners_of(server, 5)[0] != 0) server++;
-    auto made = [&](Number self) {
+    auto made = [&](RouterIndex self) {
         terms.self = self;
         terms.seed = static_cast<std::uint32_t>(self + 1);
         Quotas quotas(terms);
@@ -204,7 +204,7 @@
     };
     auto owner = made(0), first = made(1);
     first.missed(server, 100'000, 100'000, 0);
-    auto asks = first.asks([](Number) { return true; }, 0);
+    auto asks = first.asks([](RouterIndex) { return true; }, 0);
     owner.asked(1, 1, asks.at(0).what, 0);
     auto grant = owner.grants(0).at(0).what;
     // It comes when the owner has it back already.
@@ -218,7 +218,7 @@
 bool amounts_invented() {
     Two two(400'000);
     two.borrower->missed(two.server, 100'000, 100'000, 0);
-    auto ask = two.borrower->asks([](Number) { return true; }, 0).at(0).what;
+    auto ask = two.borrower->asks([](RouterIndex) { return true; }, 0).at(0).what;
     two.borrower->granted(0, {two.server, ask.number, 1e9}, 0);
     return two.borrower->available(two.server, 0) <= 100'000;
 }
--- a/tests/flaws/transfer_scenarios.hpp
+++ b/tests/flaws/transfer_scenarios.hpp
@@ -60,9 +60,9 @@
             out[static_cast<std::size_t>(from)].add(sim.now(), bytes.size());
             auto read = decode(bytes, sim.count(), sim.clock(from));
             if (!read.message) return;
-            if (of_state_transfer(read.message->kind)) transfer_datagrams++;
-            if (read.message->kind == Kind::RangeRequest) asked.push_back({from, to, sim.now()});
-            if (read.message->kind == Kind::RangePage && read.message->page)
+            if (is_state_transfer(read.message->type)) transfer_datagrams++;
+            if (read.message->type == MessageType::RangeRequest) asked.push_back({from, to, sim.now()});
+            if (read.message->type == MessageType::RangePage && read.message->page)
                 pages.push_back({from, to, bytes});
         };
         sim.on_deliver = [this](int, int to, const std::string& bytes) {
@@ -164,32 +164,32 @@
         rates.state_transfer = on;
         Start start;
         start.routers = routers;
-        start.life = static_cast<Life>(now / 1000);
+        start.life = static_cast<Generation>(now / 1000);
         start.now = now;
         start.rates = rates;
         membership = std::make_unique<Membership>(start);
     }
-    static Message from(Number helper, Kind kind) {
+    static Message from(RouterIndex helper, MessageType type) {
         Message message;
         message.from = helper;
-        message.self = {life_of(helper), Phase::Here, 0, Verdict::Alive, false};
-        message.kind = kind;
+        message.sender_state = {life_of(helper), Phase::Present, 0, Liveness::Alive, false};
+        message.type = type;
         return message;
     }
-    static Message page(Number helper, SnapshotPage page, bool complete) {
-        auto message = from(helper, Kind::RangePage);
+    static Message page(RouterIndex helper, SnapshotPage page, bool complete) {
+        auto message = from(helper, MessageType::RangePage);
         message.page = std::move(page);
         message.complete = complete;
         return message;
     }
     void hear(const Message& message) { membership->hear(message.from, encode(message), now); }
     // Runs on until the next request is sent, or the time is up.
-    std::optional<std::pair<Number, Message>> next_request(Micros limit = second) {
+    std::optional<std::pair<RouterIndex, Message>> next_request(Micros limit = second) {
         for (auto until = now + limit; now < until; now += 5 * ms) {
             membership->pass(now);
             for (auto& one : membership->outgoing()) {
                 auto read = decode(one.bytes, membership->routers(), now);
-                if (read.message && read.message->kind == Kind::RangeRequest)
+                if (read.message && read.message->type == MessageType::RangeRequest)
                     waiting.emplace_back(one.to, *read.message);
             }
             if (waiting.empty()) continue;
@@ -199,16 +199,16 @@
         }
         return {};
     }
-    static Life life_of(Number who) { return 1'764'000'000'000 + static_cast<Life>(who); }
-    static Account account_of(Number who) {
-        return {who, {life_of(who), Phase::Here, 0, Verdict::Alive, false}};
+    static Generation life_of(RouterIndex who) { return 1'764'000'000'000 + static_cast<Generation>(who); }
+    static MemberRecord account_of(RouterIndex who) {
+        return {who, {life_of(who), Phase::Present, 0, Liveness::Alive, false}};
     }
-    MemberState known(Number who) { return membership->view(who, now).member_state; }
+    MemberState known(RouterIndex who) { return membership->view(who, now).member_state; }
 
     Rates rates;
     Micros now = 1'764'576'000 * second;
     std::unique_ptr<Membership> membership;
-    std::deque<std::pair<Number, Message>> waiting;
+    std::deque<std::pair<RouterIndex, Message>> waiting;
 };
 
 // ---- scenarios
@@ -315,9 +315,9 @@
 inline bool older_life_stays_older() {
     Alone one(20);
     auto newer = Alone::account_of(7);
-    newer.member_state.life += 5000;
-    auto news = Alone::from(3, Kind::News);
-    news.accounts = {newer};
+    newer.member_state.generation += 5000;
+    auto news = Alone::from(3, MessageType::Gossip);
+    news.records = {newer};
     one.hear(news);
     auto asked = one.next_request();
     if (!asked) return false;
@@ -329,30 +329,30 @@
 // One helper has no account of a member and has not finished itself, another has one.
 inline bool helpers_that_differ() {
     Alone one(20);
-    std::vector<Account> known;
+    std::vector<MemberRecord> known;
     known.reserve(19);
-    for (Number who = 1; who < 20; who++) known.push_back(Alone::account_of(who));
+    for (RouterIndex who = 1; who < 20; who++) known.push_back(Alone::account_of(who));
     auto less = known;
-    std::erase_if(less, [](auto& account) { return account.who > 10; });
+    std::erase_if(less, [](auto& account) { return account.member > 10; });
     auto first = one.next_request();
     if (!first) return false;
     one.hear(Alone::page(first->first, {1, 19, less}, false));
     auto second_asked = one.next_request(5 * second);
     if (!second_asked || !one.membership->transferring()) return false;
-    if (second_asked->second.first != 11 || second_asked->second.range_members != 9) return false;
+    if (second_asked->second.first_member != 11 || second_asked->second.range_members != 9) return false;
     one.hear(Alone::page(second_asked->first, {11, 9, {known.begin() + 10, known.end()}}, false));
     return !one.membership->transferring() && one.known(19) == known.back().member_state;
 }
 
 // What it answers when it is asked by router 3.
 inline std::optional<Message> answer_of(Alone& one) {
-    auto request = Alone::from(3, Kind::RangeRequest);
+    auto request = Alone::from(3, MessageType::RangeRequest);
     request.range_members = 20;
     request.pages = 1;
     one.hear(request);
     for (auto& sent : one.membership->outgoing()) {
         auto read = decode(sent.bytes, 20, one.now);
-        if (read.message && read.message->kind == Kind::RangePage && sent.to == 3) return read.message;
+        if (read.message && read.message->type == MessageType::RangePage && sent.to == 3) return read.message;
     }
     return {};
 }
@@ -368,9 +368,9 @@
     Alone one(20);
     auto asked = one.next_request();
     if (!asked) return false;
-    std::vector<Account> all;
+    std::vector<MemberRecord> all;
     all.reserve(19);
-    for (Number who = 1; who < 20; who++) all.push_back(Alone::account_of(who));
+    for (RouterIndex who = 1; who < 20; who++) all.push_back(Alone::account_of(who));
     one.hear(Alone::page(asked->first, {1, 19, all}, true));
     auto before = answer_of(one);
     if (one.membership->transferring() || !before || !before->complete) return false;
@@ -381,12 +381,12 @@
 
 inline bool page_gives_nobody_up() {
     Alone one(20);
-    auto alive = Alone::from(7, Kind::Ping);
+    auto alive = Alone::from(7, MessageType::Ping);
     one.hear(alive);
     auto asked = one.next_request();
     if (!asked) return false;
     auto dead = Alone::account_of(7), unheard = Alone::account_of(8);
-    dead.member_state.verdict = unheard.member_state.verdict = Verdict::Dead;
+    dead.member_state.liveness = unheard.member_state.liveness = Liveness::Dead;
     one.hear(Alone::page(asked->first, {1, 19, {dead, unheard}}, true));
     return one.membership->state(7) == State::Alive && one.membership->state(8) == State::Dead;
 }
@@ -467,14 +467,14 @@
     Tier tier(100, 57);
     tier.settle();
     Message request;
-    request.kind = Kind::RangeRequest;
+    request.type = MessageType::RangeRequest;
     request.range_members = 100;
-    request.pages = most_pages;
+    request.pages = max_pages_per_request;
     tier.forget();
     auto shed_before = tier.sim.figures(9).requests_shed;
     for (int i = 0; i < 2000; i++) {
         request.from = 10 + i % 50;
-        request.self = tier.sim.protocol(request.from)->self();
+        request.sender_state = tier.sim.protocol(request.from)->self();
         tier.sim.visit(9, [&](Membership& p) { p.hear(request.from, encode(request), tier.sim.clock(9)); });
         tier.run(5 * ms);
     }
@@ -484,15 +484,15 @@
     return shed && answers && tier.out[9].most <= bytes_in_two_seconds;
 }
 
-inline HelperRank all_fit(Number /*helper*/) { return HelperRank::Fit; }
+inline HelperRank all_fit(RouterIndex /*helper*/) { return HelperRank::Usable; }
 
 // Whatever it is that comes in, gossip for instance.
 inline bool requests_follow_bytes() {
     constexpr Micros start = 1'764'576'000 * second;
     StateTransfer transfer(0, 5000, 1, start);
-    transfer.count(7'000, start);
-    if (transfer.next(all_fit, start + second)) return false;
-    return transfer.next(all_fit, start + 3 * second).has_value();
+    transfer.record_traffic(7'000, start);
+    if (transfer.next_request(all_fit, start + second)) return false;
+    return transfer.next_request(all_fit, start + 3 * second).has_value();
 }
 
 // Asks for what nobody tells; how often until it gives up.
@@ -502,9 +502,9 @@
     int requests = 0;
     auto now = start;
     while (transfer.phase() == StateTransfer::Phase::Running && now < start + 60 * second) {
-        now = std::max(now + ms, transfer.due());
+        now = std::max(now + ms, transfer.next_check());
         transfer.expire(now);
-        while (transfer.next(all_fit, now)) requests++;
+        while (transfer.next_request(all_fit, now)) requests++;
     }
     return transfer.phase() == StateTransfer::Phase::Failed && now - start <= 11 * second && requests < 25;
 }
@@ -512,7 +512,7 @@
 inline bool unasked_pages_unused() {
     Alone one(20);
     one.hear(Alone::page(5, {1, 19, {Alone::account_of(8)}}, true));
-    return one.known(8).life == 0 && one.membership->figures().pages_unasked == 1 &&
+    return one.known(8).generation == 0 && one.membership->figures().pages_unasked == 1 &&
            one.membership->transferring();
 }
 
@@ -525,8 +525,10 @@
     tier.run(10 * second);
     Alone one(20, false);
     one.hear(Alone::page(5, {1, 19, {Alone::account_of(8)}}, true));
-    bool dropped = one.membership->figures().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 1;
-    return tier.transfer_datagrams == 0 && dropped && one.known(8).life == 0 && one.known(5).life == 0;
+    bool dropped =
+        one.membership->figures().dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)] == 1;
+    return tier.transfer_datagrams == 0 && dropped && one.known(8).generation == 0 &&
+           one.known(5).generation == 0;
 }
 
 struct Scenario {
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -15,26 +15,27 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
 constexpr Micros between_passes = 10 * ms;
-constexpr Number first_accuser = 1, second_accuser = 2, accused = 3;
+constexpr RouterIndex first_accuser = 1, second_accuser = 2, accused = 3;
 constexpr int routers = 200;
-constexpr MemberState accused_state{400, Phase::Here, 0, Verdict::Suspected, false};
+constexpr MemberState accused_state{400, Phase::Present, 0, Liveness::Suspected, false};
 
 // Has something to tell at any time, as shared facts in a burst of purges.
 class Talkative : public Piggyback {
 public:
-    std::string load(Number /*to*/, std::size_t room, Micros /*now*/) override {
+    std::string load(RouterIndex /*to*/, std::size_t room, Micros /*now*/) override {
         return std::string(room, 'x');
     }
-    void unload(Number /*from*/, Life /*life*/, std::string_view /*bytes*/, Micros /*now*/) override {}
+    void unload(RouterIndex /*from*/, Generation /*life*/, std::string_view /*bytes*/,
+                Micros /*now*/) override {}
 };
 
-std::string accusation_by(Number accuser, Micros age) {
+std::string accusation_by(RouterIndex accuser, Micros age) {
     Message message;
     message.from = accuser;
-    message.self = {500, Phase::Here, 0, Verdict::Alive, false};
-    message.kind = Kind::News;
-    message.accounts = {{accused, accused_state}};
-    message.accusations = {{accused, accuser, age}};
+    message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
+    message.type = MessageType::Gossip;
+    message.records = {{accused, accused_state}};
+    message.suspicions = {{accused, accuser, age}};
     return encode(message);
 }
 
@@ -43,7 +44,7 @@
 public:
     Judge() : membership(start()) {}
 
-    void hear_accusation_by(Number accuser, Micros age) {
+    void hear_accusation_by(RouterIndex accuser, Micros age) {
         membership.hear(accuser, accusation_by(accuser, age), now);
         collect();
     }
@@ -77,10 +78,10 @@
         for (auto& datagram : membership.outgoing()) {
             auto read = decode(datagram.bytes, routers, now);
             REQUIRE(read.message);
-            auto& accounts = read.message->accounts;
+            auto& accounts = read.message->records;
             bool about = std::any_of(accounts.begin(), accounts.end(),
-                                     [](auto& account) { return account.who == accused; });
-            if (read.message->kind == Kind::Ping && read.message->probe == 0 && about && !asked_at)
+                                     [](auto& account) { return account.member == accused; });
+            if (read.message->type == MessageType::Ping && read.message->probe_id == 0 && about && !asked_at)
                 asked_at = now;
         }
         if (membership.state(accused) == State::Dead && !judged_at) judged_at = now;
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -18,10 +18,10 @@
 
 std::vector<MemberState> all_standings() {
     std::vector<MemberState> all;
-    for (Life life : {1, 2})
-        for (auto phase : {Phase::Here, Phase::Leaving, Phase::Gone})
+    for (Generation life : {1, 2})
+        for (auto phase : {Phase::Present, Phase::Leaving, Phase::Gone})
             for (std::uint32_t incarnation : {0U, 1U})
-                for (auto verdict : {Verdict::Alive, Verdict::Suspected, Verdict::Dead})
+                for (auto verdict : {Liveness::Alive, Liveness::Suspected, Liveness::Dead})
                     for (bool ill : {false, true}) all.push_back({life, phase, incarnation, verdict, ill});
     return all;
 }
@@ -29,21 +29,21 @@
 Message a_message() {
     Message message;
     message.from = 3;
-    message.self = {1'764'576'000'000, Phase::Leaving, 5, Verdict::Alive, true};
+    message.sender_state = {1'764'576'000'000, Phase::Leaving, 5, Liveness::Alive, true};
     message.zone = 2;
-    message.kind = Kind::Ask;
-    message.probe = 77;
-    message.about = 9;
-    message.accounts = {{1, {1'764'575'000'000, Phase::Here, 1, Verdict::Suspected, false}},
-                        {4, {1'764'576'100'000, Phase::Gone, 200, Verdict::Dead, true}}};
-    message.accusations = {{1, 8, 300 * ms}};
+    message.type = MessageType::PingRequest;
+    message.probe_id = 77;
+    message.target = 9;
+    message.records = {{1, {1'764'575'000'000, Phase::Present, 1, Liveness::Suspected, false}},
+                       {4, {1'764'576'100'000, Phase::Gone, 200, Liveness::Dead, true}}};
+    message.suspicions = {{1, 8, 300 * ms}};
     message.link_reports = {{2, 3, 6, true}};
-    message.first = 4;
+    message.first_member = 4;
     message.hashes = {0xdeadbeef};
     return message;
 }
 
-Membership a_circle(Number self = 0, int routers = 4) {
+Membership a_circle(RouterIndex self = 0, int routers = 4) {
     Start start;
     start.self = self;
     start.routers = routers;
@@ -53,13 +53,13 @@
 }
 
 // A datagram of another router that tells one account.
-std::string telling(Number from, Account account, std::vector<Accusation> accusations = {}) {
+std::string telling(RouterIndex from, MemberRecord account, std::vector<SuspicionReport> accusations = {}) {
     Message message;
     message.from = from;
-    message.self = {500, Phase::Here, 0, Verdict::Alive, false};
-    message.kind = Kind::News;
-    message.accounts = {account};
-    message.accusations = std::move(accusations);
+    message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
+    message.type = MessageType::Gossip;
+    message.records = {account};
+    message.suspicions = std::move(accusations);
     return encode(message);
 }
 
@@ -68,10 +68,10 @@
 TEST_CASE("accounts join the same in any order, any number of times") {
     auto all = all_standings();
     for (auto& a : all) {
-        CHECK(join(a, a) == a);
+        CHECK(merge(a, a) == a);
         for (auto& b : all) {
-            REQUIRE(join(a, b) == join(b, a));
-            for (auto& c : all) REQUIRE(join(join(a, b), c) == join(a, join(b, c)));
+            REQUIRE(merge(a, b) == merge(b, a));
+            for (auto& c : all) REQUIRE(merge(merge(a, b), c) == merge(a, merge(b, c)));
         }
     }
 }
@@ -79,9 +79,9 @@
 TEST_CASE("no account takes a router back: to an earlier life, phase or incarnation") {
     for (auto& a : all_standings())
         for (auto& b : all_standings()) {
-            auto joined = join(a, b);
-            REQUIRE(joined.life >= a.life);
-            if (joined.life == a.life) {
+            auto joined = merge(a, b);
+            REQUIRE(joined.generation >= a.generation);
+            if (joined.generation == a.generation) {
                 REQUIRE(joined.phase >= a.phase);
                 REQUIRE(joined.incarnation >= a.incarnation);
             }
@@ -94,37 +94,37 @@
     REQUIRE(read.message);
     auto& got = *read.message;
     CHECK(got.from == 3);
-    CHECK(got.self == message.self);
+    CHECK(got.sender_state == message.sender_state);
     CHECK(got.zone == 2);
-    CHECK(got.kind == Kind::Ask);
-    CHECK(got.about == 9);
-    CHECK(got.accounts == message.accounts);
-    CHECK(got.accusations == message.accusations);
+    CHECK(got.type == MessageType::PingRequest);
+    CHECK(got.target == 9);
+    CHECK(got.records == message.records);
+    CHECK(got.suspicions == message.suspicions);
     CHECK(got.link_reports == message.link_reports);
     CHECK(got.hashes == message.hashes);
-    CHECK(got.first == 4);
+    CHECK(got.first_member == 4);
 }
 
 TEST_CASE("what can't be used is dropped, and why is told") {
     auto why = [](const Message& message, int routers = 10) {
         auto read = decode(encode(message), routers, noon_at);
         CHECK(!read.message);
-        return read.why;
+        return read.drop_reason;
     };
-    CHECK(decode(std::string(257, 'x'), 10, noon_at).why == Dropped::TooLong);
-    CHECK(decode("\xff\xff\xff", 10, noon_at).why == Dropped::Malformed);
-    CHECK(decode("", 10, noon_at).why == Dropped::Format);
-    CHECK(decode("\x08\x02\x10\x01\x18\x01", 10, noon_at).why == Dropped::Format);
-    CHECK(why(a_message(), 9) == Dropped::OutOfRange);  // about number 9, of nine
+    CHECK(decode(std::string(257, 'x'), 10, noon_at).drop_reason == DropReason::TooLong);
+    CHECK(decode("\xff\xff\xff", 10, noon_at).drop_reason == DropReason::Malformed);
+    CHECK(decode("", 10, noon_at).drop_reason == DropReason::UnsupportedFormat);
+    CHECK(decode("\x08\x02\x10\x01\x18\x01", 10, noon_at).drop_reason == DropReason::UnsupportedFormat);
+    CHECK(why(a_message(), 9) == DropReason::OutOfRange);  // about number 9, of nine
     auto future = a_message();
-    future.accounts[0].member_state.life += 3 * Life{86'400'000};
-    CHECK(why(future) == Dropped::OutOfRange);
+    future.records[0].member_state.generation += 3 * Generation{86'400'000};
+    CHECK(why(future) == DropReason::OutOfRange);
     auto dead = a_message();
-    dead.self.verdict = Verdict::Dead;  // nobody says that of itself
-    CHECK(why(dead) == Dropped::OutOfRange);
+    dead.sender_state.liveness = Liveness::Dead;  // nobody says that of itself
+    CHECK(why(dead) == DropReason::OutOfRange);
     auto many = a_message();
     many.hashes.assign(30, 1);  // more blocks than ten routers have
-    CHECK(why(many) == Dropped::OutOfRange);
+    CHECK(why(many) == DropReason::OutOfRange);
     // Cut anywhere, and with any byte changed, it is read as something or dropped, never more.
     auto whole = encode(a_message());
     for (std::size_t i = 0; i < whole.size(); i++) {
@@ -141,12 +141,12 @@
     for (int routers : {2, 3, 7, 50}) {
         std::vector<ProbeSchedule> orders;
         orders.reserve(static_cast<std::size_t>(routers));
-        for (Number who = 0; who < routers; who++) orders.emplace_back(who, routers, 333 * ms);
-        std::vector<std::set<Number>> probed(static_cast<std::size_t>(routers));
+        for (RouterIndex who = 0; who < routers; who++) orders.emplace_back(who, routers, 333 * ms);
+        std::vector<std::set<RouterIndex>> probed(static_cast<std::size_t>(routers));
         std::int64_t first = std::int64_t{1000} * (routers - 1);
         for (auto slot = first; slot < first + routers - 1; slot++) {
-            std::set<Number> targets;
-            for (Number who = 0; who < routers; who++) {
+            std::set<RouterIndex> targets;
+            for (RouterIndex who = 0; who < routers; who++) {
                 auto target = orders[static_cast<std::size_t>(who)].target(slot);
                 CHECK(target != who);
                 targets.insert(target);
@@ -177,23 +177,23 @@
 
 TEST_CASE("four misses in a row make a cut, one datagram ends it") {
     Reachability reachability(0);
-    for (int i = 0; i < 3; i++) CHECK(!reachability.missed(4, noon_at));
-    CHECK(reachability.doubtful(4));
-    CHECK(reachability.missed(4, noon_at));
-    CHECK(reachability.cut(4, 0));
-    CHECK(!reachability.cut(0, 4));
-    CHECK(reachability.heard(4, noon_at));
-    CHECK(!reachability.cut(4, 0));
+    for (int i = 0; i < 3; i++) CHECK(!reachability.record_missed(4, noon_at));
+    CHECK(reachability.needs_another_probe(4));
+    CHECK(reachability.record_missed(4, noon_at));
+    CHECK(reachability.is_down(4, 0));
+    CHECK(!reachability.is_down(0, 4));
+    CHECK(reachability.record_received(4, noon_at));
+    CHECK(!reachability.is_down(4, 0));
     SUBCASE("what another listener says goes by its life and count") {
-        CHECK(reachability.told({1, 2, 5, true}, 10, noon_at));
-        CHECK(!reachability.told({1, 2, 5, false}, 10, noon_at));
-        CHECK(!reachability.told({1, 2, 9, false}, 9, noon_at));
-        CHECK(reachability.told({1, 2, 6, false}, 10, noon_at));
-        CHECK(!reachability.cut(1, 2));
+        CHECK(reachability.merge_report({1, 2, 5, true}, 10, noon_at));
+        CHECK(!reachability.merge_report({1, 2, 5, false}, 10, noon_at));
+        CHECK(!reachability.merge_report({1, 2, 9, false}, 9, noon_at));
+        CHECK(reachability.merge_report({1, 2, 6, false}, 10, noon_at));
+        CHECK(!reachability.is_down(1, 2));
     }
     SUBCASE("no more than 64 are kept") {
-        for (int i = 0; i < 200; i++) reachability.told({i, i + 1, 1, true}, 1, noon_at);
-        CHECK(reachability.cuts().size() <= 64);
+        for (int i = 0; i < 200; i++) reachability.merge_report({i, i + 1, 1, true}, 1, noon_at);
+        CHECK(reachability.down_links().size() <= 64);
     }
 }
 
@@ -201,7 +201,7 @@
     GossipQueue gossip(10);
     gossip.news(1, false);
     gossip.news(2, true);
-    CHECK(gossip.next(1) == std::vector<Number>{2});
+    CHECK(gossip.next(1) == std::vector<RouterIndex>{2});
     int told = 1;
     while (gossip.size() > 0) told += static_cast<int>(gossip.next(5).size());
     CHECK(told == 2 * gossip.most());
@@ -212,38 +212,38 @@
 
 TEST_CASE("a router that was accused answers with a higher incarnation") {
     auto membership = a_circle();
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Suspected, false}}), noon_at);
+    membership.hear(1, telling(1, {0, {1000, Phase::Present, 0, Liveness::Suspected, false}}), noon_at);
     CHECK(membership.self().incarnation == 1);
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
+    membership.hear(1, telling(1, {0, {1000, Phase::Present, 0, Liveness::Dead, false}}), noon_at);
     CHECK(membership.self().incarnation == 1);  // that one was answered already
-    membership.hear(1, telling(1, {0, {1000, Phase::Here, 7, Verdict::Alive, false}}), noon_at);
+    membership.hear(1, telling(1, {0, {1000, Phase::Present, 7, Liveness::Alive, false}}), noon_at);
     CHECK(membership.self().incarnation == 8);  // of its last run, within the same millisecond
-    membership.hear(1, telling(1, {0, {1000, Phase::Gone, 9, Verdict::Alive, false}}), noon_at);
-    CHECK(membership.self().life == 1001);  // which it did not say in this life
-    membership.hear(1, telling(1, {0, {5000, Phase::Here, 0, Verdict::Alive, false}}), noon_at);
-    CHECK(membership.self().life == 5001);
+    membership.hear(1, telling(1, {0, {1000, Phase::Gone, 9, Liveness::Alive, false}}), noon_at);
+    CHECK(membership.self().generation == 1001);  // which it did not say in this life
+    membership.hear(1, telling(1, {0, {5000, Phase::Present, 0, Liveness::Alive, false}}), noon_at);
+    CHECK(membership.self().generation == 5001);
 }
 
 TEST_CASE("nobody speaks under another's number, from elsewhere, or in my name") {
     auto membership = a_circle();
-    auto gone = telling(2, {3, {400, Phase::Gone, 0, Verdict::Alive, false}});
+    auto gone = telling(2, {3, {400, Phase::Gone, 0, Liveness::Alive, false}});
     membership.hear(1, gone, noon_at);
     membership.hear(-1, gone, noon_at);
     CHECK(membership.state(3) == State::Unknown);
     membership.hear(2, gone, noon_at);
     CHECK(membership.state(3) == State::Gone);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
-    auto mine = telling(0, {3, {400, Phase::Here, 0, Verdict::Alive, false}});
+    CHECK(membership.figures().dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)] == 2);
+    auto mine = telling(0, {3, {400, Phase::Present, 0, Liveness::Alive, false}});
     membership.hear(0, mine, noon_at);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::Source)] == 3);
+    CHECK(membership.figures().dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)] == 3);
 }
 
 TEST_CASE("counts are an interval, and only a router's own word makes it certain") {
     auto membership = a_circle();
     CHECK(membership.counts().surely == 1);
     CHECK(membership.counts().possibly == 4);
-    membership.hear(1, telling(1, {2, {400, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
-    membership.hear(1, telling(1, {3, {400, Phase::Gone, 0, Verdict::Alive, false}}), noon_at);
+    membership.hear(1, telling(1, {2, {400, Phase::Present, 0, Liveness::Dead, false}}), noon_at);
+    membership.hear(1, telling(1, {3, {400, Phase::Gone, 0, Liveness::Alive, false}}), noon_at);
     CHECK(membership.counts().surely == 2);
     CHECK(membership.counts().possibly == 3);  // the dead one may be behind a cut
     CHECK(membership.view(3, noon_at).sure == 1);
@@ -307,36 +307,36 @@
         return members + "],";
     };
     told.replace(told.find("\"balancers\""), 0, "\"index\":0,");
-    CHECK(most_routers == 8192);
-    CHECK_NOTHROW(with("\"peers\":true,", of_size(most_routers)));
-    CHECK_THROWS_AS(with("\"peers\":true,", of_size(most_routers + 1)), site::Unusable);
+    CHECK(max_routers == 8192);
+    CHECK_NOTHROW(with("\"peers\":true,", of_size(max_routers)));
+    CHECK_THROWS_AS(with("\"peers\":true,", of_size(max_routers + 1)), site::Unusable);
 }
 
 TEST_CASE("datagrams of a tier longer than the bound are dropped, and the largest number within it is read") {
     auto message = a_message();
-    message.from = most_routers - 1;
-    message.accounts[0].who = most_routers - 2;
-    auto read = decode(encode(message), most_routers, noon_at);
+    message.from = max_routers - 1;
+    message.records[0].member = max_routers - 2;
+    auto read = decode(encode(message), max_routers, noon_at);
     REQUIRE(read.message);
-    CHECK(read.message->from == most_routers - 1);
-    CHECK(read.message->accounts[0].who == most_routers - 2);
-    CHECK(decode(encode(message), most_routers + 1, noon_at).why == Dropped::OutOfRange);
-    CHECK(decode(encode(message), most_routers - 1, noon_at).why == Dropped::OutOfRange);
+    CHECK(read.message->from == max_routers - 1);
+    CHECK(read.message->records[0].member == max_routers - 2);
+    CHECK(decode(encode(message), max_routers + 1, noon_at).drop_reason == DropReason::OutOfRange);
+    CHECK(decode(encode(message), max_routers - 1, noon_at).drop_reason == DropReason::OutOfRange);
 }
 
 TEST_CASE("kinds of a state transfer are dropped and counted where it is off") {
     auto membership = a_circle();
     Message request;
     request.from = 1;
-    request.self = {500, Phase::Here, 0, Verdict::Alive, false};
-    request.kind = Kind::RangeRequest;
+    request.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
+    request.type = MessageType::RangeRequest;
     request.range_members = 4;
     request.pages = 1;
     membership.hear(1, encode(request), noon_at);
     request.range_members = request.pages = 0;
-    request.kind = Kind::RangePage;
+    request.type = MessageType::RangePage;
     membership.hear(1, encode(request), noon_at);
-    CHECK(membership.figures().dropped[static_cast<std::size_t>(Dropped::TransferOff)] == 2);
+    CHECK(membership.figures().dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)] == 2);
     CHECK(membership.figures().heard == 0);
     CHECK(membership.state(1) == State::Unknown);
     CHECK(membership.outgoing().empty());
--- a/tests/round_trips_test.cpp
+++ b/tests/round_trips_test.cpp
@@ -16,9 +16,9 @@
 constexpr Micros believed = 333 * millisecond;
 constexpr int enough_samples = 32;
 
-RoundTrips measured(Micros length, int samples) {
-    RoundTrips round_trips(believed, noon_at);
-    for (int i = 0; i < samples; i++) round_trips.measured(length, noon_at);
+RoundTripEstimator measured(Micros length, int samples) {
+    RoundTripEstimator round_trips(believed, noon_at);
+    for (int i = 0; i < samples; i++) round_trips.record(length, noon_at);
     return round_trips;
 }
 
@@ -39,7 +39,7 @@
     auto regions = topology.regions_by_size();
     auto killed = topology.in_region(regions[2]).front();
     RegionCut seen;
-    fleet.on_change = [&](Number, const Change& change) {
+    fleet.on_change = [&](RouterIndex, const Change& change) {
         if (change.after != State::Dead) return;
         (change.who == killed && !fleet.runs(killed) ? seen.noticed : seen.false_deaths)++;
     };
@@ -53,25 +53,25 @@
 }  // namespace
 
 TEST_CASE("the longest round trip is believed at most until enough are measured") {
-    CHECK(measured(5 * millisecond, enough_samples - 1).longest(noon_at) == believed);
-    CHECK(measured(5 * millisecond, enough_samples).longest(noon_at) == 5 * millisecond);
+    CHECK(measured(5 * millisecond, enough_samples - 1).max_round_trip(noon_at) == believed);
+    CHECK(measured(5 * millisecond, enough_samples).max_round_trip(noon_at) == 5 * millisecond);
 }
 
 TEST_CASE("a round trip longer than believed, or less than nothing by a clock set back, is bounded") {
-    CHECK(measured(10 * second, enough_samples).longest(noon_at) == believed);
-    CHECK(measured(-second, enough_samples).longest(noon_at) == 0);
+    CHECK(measured(10 * second, enough_samples).max_round_trip(noon_at) == believed);
+    CHECK(measured(-second, enough_samples).max_round_trip(noon_at) == 0);
 }
 
 TEST_CASE("a longest round trip is kept for one to two minutes") {
     auto round_trips = measured(250 * millisecond, enough_samples);
-    round_trips.measured(5 * millisecond, noon_at + minute);
-    CHECK(round_trips.longest(noon_at + minute) == 250 * millisecond);
-    CHECK(round_trips.longest(noon_at + 2 * minute) == 5 * millisecond);
+    round_trips.record(5 * millisecond, noon_at + minute);
+    CHECK(round_trips.max_round_trip(noon_at + minute) == 250 * millisecond);
+    CHECK(round_trips.max_round_trip(noon_at + 2 * minute) == 5 * millisecond);
 }
 
 TEST_CASE("who has measured none for two minutes goes by the longest believed again") {
     auto round_trips = measured(5 * millisecond, enough_samples);
-    CHECK(round_trips.longest(noon_at + 2 * minute) == believed);
+    CHECK(round_trips.max_round_trip(noon_at + 2 * minute) == believed);
 }
 
 // Where an indirect probe has to end with its period, this run declares living routers dead: 5 pairs, 499
