--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -38,7 +38,7 @@
     return all;
 }
 
-QuotaTerms terms_of(Number self, int routers = 4, int owners = 1) {
+QuotaTerms terms_of(RouterIndex self, int routers = 4, int owners = 1) {
     QuotaTerms terms;
     terms.self = self;
     terms.routers = routers;
@@ -47,7 +47,7 @@
     return terms;
 }
 // A server that router `owner` alone owns.
-CacheId owned_by(Number owner, int routers = 4) {
+CacheId owned_by(RouterIndex owner, int routers = 4) {
     Quotas quotas(terms_of(0, routers));
     CacheId id = 1;
     while (quotas.owners_of(id, 5)[0] != owner) id++;
@@ -61,7 +61,7 @@
         borrower.list({{server, 5, whole}}, 0);
     }
     std::vector<Posted<Ask>> asks(Micros now) {
-        return borrower.asks([](Number) { return true; }, now);
+        return borrower.asks([](RouterIndex) { return true; }, now);
     }
     // A lease of one lookup, asked for and granted at once.
     bool lend(Micros now, double work = 100'000) {
@@ -229,9 +229,9 @@
     for (CacheId id = 1; id < 50; id++) {
         auto owners = one.owners_of(id, 5);
         CHECK(owners == other.owners_of(id, 5));
-        CHECK(std::set<Number>(owners.begin(), owners.end()).size() == 4);
+        CHECK(std::set<RouterIndex>(owners.begin(), owners.end()).size() == 4);
         auto all = few.owners_of(id, 5);
-        CHECK(std::set<Number>(all.begin(), all.end()).size() == 3);
+        CHECK(std::set<RouterIndex>(all.begin(), all.end()).size() == 3);
     }
 }
 
@@ -367,9 +367,9 @@
         CacheId server = 1 + static_cast<CacheId>(draw(1000));
         double whole = 400'000;
         std::vector<Quotas> all;
-        std::vector<Life> lives(static_cast<std::size_t>(routers), 1);
+        std::vector<Generation> lives(static_cast<std::size_t>(routers), 1);
         std::vector<Micros> skew;  // steady clocks start anywhere
-        for (Number i = 0; i < routers; i++) {
+        for (RouterIndex i = 0; i < routers; i++) {
             auto terms = terms_of(i, routers, owners);
             terms.seed = chance();
             all.emplace_back(terms);
@@ -378,8 +378,8 @@
         }
         struct Flying {
             Micros at;
-            Number from, to;
-            Life life;
+            RouterIndex from, to;
+            Generation life;
             std::optional<Ask> ask;
             std::optional<Grant> grant;
         };
@@ -411,8 +411,8 @@
                         flying.push_back(one);
                     }
                 };
-                auto self = static_cast<Number>(i);
-                for (auto& [to, ask] : quotas.asks([](Number) { return true; }, clock))
+                auto self = static_cast<RouterIndex>(i);
+                for (auto& [to, ask] : quotas.asks([](RouterIndex) { return true; }, clock))
                     post({0, self, to, lives[i], ask, {}});
                 for (auto& [to, grant] : quotas.grants(clock)) post({0, self, to, lives[i], {}, grant});
                 if (draw(2000) == 0) {
@@ -472,7 +472,7 @@
 TEST_CASE("witnesses in different zones count more than as many in one") {
     HealthReports one_zone, many;
     Complaint bad{5, 0, 4, 1, 0, 0};
-    for (Number i = 0; i < 4; i++) {
+    for (RouterIndex i = 0; i < 4; i++) {
         one_zone.hear(i, 0, 1, {4, 1}, bad, noon_at);
         many.hear(i, i, 1, {4, 1}, bad, noon_at);
     }
@@ -549,11 +549,11 @@
     constexpr int routers = 40;
     std::vector<RequestCounts> all;
     all.reserve(routers);
-    for (Number i = 0; i < routers; i++) all.emplace_back(i, routers);
+    for (RouterIndex i = 0; i < routers; i++) all.emplace_back(i, routers);
     std::mt19937 chance(5);
-    std::map<std::uint64_t, std::set<Number>> truly;
+    std::map<std::uint64_t, std::set<RouterIndex>> truly;
     for (int step = 0; step < 4000; step++) {
-        auto who = static_cast<Number>(chance() % routers);
+        auto who = static_cast<RouterIndex>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
         all[static_cast<std::size_t>(who)].asked(name, noon_at);
         truly[name].insert(who);
@@ -577,7 +577,7 @@
 TEST_CASE("an epoch that is over counts half, then nothing, and counts of a life long over are dropped") {
     RequestCounts request_counts(0, 40);
     std::uint32_t six = 0;
-    for (Number i = 1; std::popcount(six) < 6; i++)
+    for (RouterIndex i = 1; std::popcount(six) < 6; i++)
         if (RequestCounts::bit_of(i) != RequestCounts::bit_of(0)) six |= RequestCounts::bit_of(i);
     auto epoch = RequestCounts::epoch_of(noon_at);
     CHECK(request_counts.hear({7, epoch, six}, noon_at));
--- a/tests/snapshot_page_test.cpp
+++ b/tests/snapshot_page_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int routers = 5900;
-constexpr Life started = 1'764'576'000'000, latest = started + 86'400'000;
+constexpr Generation started = 1'764'576'000'000, latest = started + 86'400'000;
 constexpr std::size_t room = 226;  // bytes a datagram leaves to a page
 
 class Draw {
@@ -25,10 +25,10 @@
     bool one_in(std::uint64_t many) { return upto(many - 1) == 0; }
     MemberState state(std::uint64_t spread_ms) {
         MemberState state;
-        state.life = started - upto(spread_ms);
+        state.generation = started - upto(spread_ms);
         if (one_in(4)) state.incarnation = static_cast<std::uint32_t>(upto((1U << 27) - 1) >> upto(26));
-        if (one_in(10)) state.ill = true;
-        if (one_in(10)) state.verdict = static_cast<Verdict>(upto(2));
+        if (one_in(10)) state.unhealthy = true;
+        if (one_in(10)) state.liveness = static_cast<Liveness>(upto(2));
         if (one_in(10)) state.phase = static_cast<Phase>(upto(2));
         return state;
     }
@@ -52,21 +52,21 @@
     for (int run = 0; run < 2000; run++) {
         std::uint64_t spread = 1ULL << draw.upto(40);
         auto states = drawn_states(draw, 1 + draw.upto(1500), spread, draw.upto(8));
-        auto first = static_cast<Number>(draw.upto(routers - states.size()));
+        auto first = static_cast<RouterIndex>(draw.upto(routers - states.size()));
         auto page = largest_page(first, states, room);
         REQUIRE(page);
-        auto bytes = pack(*page);
+        auto bytes = encode_page(*page);
         REQUIRE(bytes.size() <= room);
-        auto read = unpack(bytes, routers, latest);
+        auto read = decode_page(bytes, routers, latest);
         REQUIRE(read);
         REQUIRE(*read == *page);
         std::size_t place = 0;
-        for (int i = 0; i < page->members; i++) {
+        for (int i = 0; i < page->member_count; i++) {
             auto& state = states[static_cast<std::size_t>(i)];
-            if (state.life == 0) continue;
-            REQUIRE(page->accounts[place++] == Account{first + i, state});
+            if (state.generation == 0) continue;
+            REQUIRE(page->records[place++] == MemberRecord{first + i, state});
         }
-        REQUIRE(place == page->accounts.size());
+        REQUIRE(place == page->records.size());
     }
 }
 
@@ -75,15 +75,15 @@
     int members = 0;
     for (int run = 0; run < 100; run++) {
         std::vector<MemberState> states(100);
-        for (auto& one : states) one.life = started - draw.upto(std::uint64_t{3} * 86'400'000);
-        members += largest_page(0, states, room)->members;
+        for (auto& one : states) one.generation = started - draw.upto(std::uint64_t{3} * 86'400'000);
+        members += largest_page(0, states, room)->member_count;
     }
     CHECK(100 * room * 8 / static_cast<double>(members) < 31.5);
-    std::vector<MemberState> unknown(most_page_members);
+    std::vector<MemberState> unknown(max_members_per_page);
     auto page = largest_page(0, unknown, room);
     REQUIRE(page);
-    CHECK(page->members == most_page_members);
-    CHECK(pack(*page).size() < 16);
+    CHECK(page->member_count == max_members_per_page);
+    CHECK(encode_page(*page).size() < 16);
 }
 
 TEST_CASE("no page without a member, or without room for one") {
@@ -97,27 +97,27 @@
         auto states = drawn_states(draw, 80, 1ULL << 31, 7);
         auto page = largest_page(100, states, room);
         REQUIRE(page);
-        auto bytes = pack(*page);
+        auto bytes = encode_page(*page);
         for (std::size_t size = 0; size < bytes.size(); size++)
-            CHECK(!unpack(std::string_view(bytes).substr(0, size), routers, latest));
-        CHECK(!unpack(bytes + '\0', routers, latest));
-        CHECK(!unpack(bytes + '\x01', routers, latest));
-        CHECK(!unpack(bytes, page->end() - 1, latest));
-        CHECK(unpack(bytes, page->end(), latest));
+            CHECK(!decode_page(std::string_view(bytes).substr(0, size), routers, latest));
+        CHECK(!decode_page(bytes + '\0', routers, latest));
+        CHECK(!decode_page(bytes + '\x01', routers, latest));
+        CHECK(!decode_page(bytes, page->end() - 1, latest));
+        CHECK(decode_page(bytes, page->end(), latest));
         // Its latest life is past the bound.
-        CHECK(!unpack(bytes, routers, started - (1ULL << 32)));
+        CHECK(!decode_page(bytes, routers, started - (1ULL << 32)));
         for (std::size_t bit = 0; bit < bytes.size() * 8; bit++) {
             auto changed = bytes;
             changed[bit / 8] = static_cast<char>(changed[bit / 8] ^ (0x80 >> (bit % 8)));
-            auto read = unpack(changed, routers, latest);
+            auto read = decode_page(changed, routers, latest);
             if (!read) continue;
-            REQUIRE(pack(*read) == changed);
+            REQUIRE(encode_page(*read) == changed);
             REQUIRE(read->end() <= routers);
-            for (auto& one : read->accounts) {
-                REQUIRE(one.who >= read->first);
-                REQUIRE(one.who < read->end());
-                REQUIRE(one.member_state.life > 0);
-                REQUIRE(one.member_state.life <= latest);
+            for (auto& one : read->records) {
+                REQUIRE(one.member >= read->first_member);
+                REQUIRE(one.member < read->end());
+                REQUIRE(one.member_state.generation > 0);
+                REQUIRE(one.member_state.generation <= latest);
             }
         }
     }
@@ -129,7 +129,7 @@
     for (int run = 0; run < 20'000; run++) {
         std::string bytes(draw.upto(230), '\0');
         for (auto& one : bytes) one = static_cast<char>(draw.upto(255));
-        pages += unpack(bytes, routers, latest).has_value();
+        pages += decode_page(bytes, routers, latest).has_value();
     }
     CHECK(pages < 20);
 }
@@ -138,39 +138,39 @@
     constexpr Micros now = static_cast<Micros>(started) * 1000;
     Message message;
     message.from = 3;
-    message.self = {started, Phase::Here, 0, Verdict::Alive, false};
-    auto why = [&](const Message& sent) { return decode(encode(sent), 100, now).why; };
+    message.sender_state = {started, Phase::Present, 0, Liveness::Alive, false};
+    auto why = [&](const Message& sent) { return decode(encode(sent), 100, now).drop_reason; };
     auto request = message;
-    request.kind = Kind::RangeRequest;
-    request.first = 40;
+    request.type = MessageType::RangeRequest;
+    request.first_member = 40;
     request.range_members = 60;
-    request.pages = most_pages;
+    request.pages = max_pages_per_request;
     auto read = decode(encode(request), 100, now);
     REQUIRE(read.message);
-    CHECK(read.message->first == 40);
+    CHECK(read.message->first_member == 40);
     CHECK(read.message->range_members == 60);
-    CHECK(read.message->pages == most_pages);
+    CHECK(read.message->pages == max_pages_per_request);
     auto refused = [&](auto change) {
         auto changed = request;
         change(changed);
-        return why(changed) == Dropped::OutOfRange;
+        return why(changed) == DropReason::OutOfRange;
     };
     CHECK(refused([](Message& one) { one.range_members = 61; }));
     CHECK(refused([](Message& one) { one.range_members = 0; }));
     CHECK(refused([](Message& one) { one.pages = 0; }));
-    CHECK(refused([](Message& one) { one.pages = most_pages + 1; }));
-    CHECK(refused([](Message& one) { one.kind = Kind::News; }));
+    CHECK(refused([](Message& one) { one.pages = max_pages_per_request + 1; }));
+    CHECK(refused([](Message& one) { one.type = MessageType::Gossip; }));
     CHECK(refused([](Message& one) { one.page = SnapshotPage{0, 1, {}}; }));
     CHECK(refused([](Message& one) { one.complete = true; }));
     auto page = message;
-    page.kind = Kind::RangePage;
+    page.type = MessageType::RangePage;
     page.complete = true;
-    page.page = SnapshotPage{90, 10, {{92, {started - 5, Phase::Gone, 3, Verdict::Dead, true}}}};
+    page.page = SnapshotPage{90, 10, {{92, {started - 5, Phase::Gone, 3, Liveness::Dead, true}}}};
     auto got = decode(encode(page), 100, now);
     REQUIRE(got.message);
     CHECK(got.message->page == page.page);
     CHECK(got.message->complete);
-    CHECK(decode(encode(page), 99, now).why == Dropped::OutOfRange);
-    page.page->accounts[0].member_state.life = started + Life{2} * 86'400'000;
-    CHECK(why(page) == Dropped::OutOfRange);
+    CHECK(decode(encode(page), 99, now).drop_reason == DropReason::OutOfRange);
+    page.page->records[0].member_state.generation = started + Generation{2} * 86'400'000;
+    CHECK(why(page) == DropReason::OutOfRange);
 }
--- a/tests/state_transfer_test.cpp
+++ b/tests/state_transfer_test.cpp
@@ -32,15 +32,15 @@
     one.membership->hear(other, encode(page), one.now);
     one.membership->hear(-1, encode(page), one.now);
     auto& dropped = one.membership->figures().dropped;
-    CHECK(dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
+    CHECK(dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)] == 2);
     page.page = SnapshotPage{10, 20, {}};
     one.hear(page);
     auto bytes = encode(Alone::page(asked->first, {1, 19, {}}, true));
     one.membership->hear(asked->first, bytes.substr(0, bytes.size() - 4), one.now);
-    CHECK(dropped[static_cast<std::size_t>(Dropped::OutOfRange)] +
-              dropped[static_cast<std::size_t>(Dropped::Malformed)] ==
+    CHECK(dropped[static_cast<std::size_t>(DropReason::OutOfRange)] +
+              dropped[static_cast<std::size_t>(DropReason::Malformed)] ==
           2);
-    CHECK(one.known(8).life == 0);
+    CHECK(one.known(8).generation == 0);
     CHECK(one.membership->transferring());
 }
 
@@ -48,42 +48,42 @@
     StateTransfer transfer(0, 5000, 1, noon_at);
     std::vector<RangeRequest> asked;
     for (auto now = noon_at; now < noon_at + 500 * ms; now += 10 * ms)
-        if (auto one = transfer.next(all_fit, now)) asked.push_back(*one);
+        if (auto one = transfer.next_request(all_fit, now)) asked.push_back(*one);
     REQUIRE(asked.size() >= 2);
     CHECK(asked.size() <= 4);
     for (std::size_t i = 1; i < asked.size(); i++) {
         CHECK(asked[i].helper != asked[i - 1].helper);
-        CHECK(asked[i].first >= asked[i - 1].first + asked[i - 1].members);
+        CHECK(asked[i].first_member >= asked[i - 1].first_member + asked[i - 1].member_count);
     }
 }
 
 TEST_CASE("a busy helper is followed by another one") {
     StateTransfer transfer(0, 60, 1, noon_at);
-    auto first = transfer.next(all_fit, noon_at + 100 * ms);
+    auto first = transfer.next_request(all_fit, noon_at + 100 * ms);
     REQUIRE(first);
-    transfer.take_busy(first->helper, noon_at + 120 * ms);
-    auto next = transfer.next(all_fit, noon_at + 400 * ms);
+    transfer.accept_busy(first->helper, noon_at + 120 * ms);
+    auto next = transfer.next_request(all_fit, noon_at + 400 * ms);
     REQUIRE(next);
-    CHECK(next->first == first->first);
+    CHECK(next->first_member == first->first_member);
 }
 
 TEST_CASE("ranges that differ are fetched from whom they differ, not again at once") {
     StateTransfer transfer(0, 100, 1, noon_at);
     for (auto now = noon_at; transfer.phase() == StateTransfer::Phase::Running; now += 50 * ms)
-        if (auto one = transfer.next(all_fit, now))
-            transfer.take(one->helper, {one->first, one->members, {}}, true, now);
+        if (auto one = transfer.next_request(all_fit, now))
+            transfer.accept_page(one->helper, {one->first_member, one->member_count, {}}, true, now);
     auto now = noon_at + 10 * second;
     transfer.refresh(32, 16, 77, now);
     transfer.refresh(64, 16, 77, now);
-    CHECK(transfer.missing() == 32);
-    auto one = transfer.next(all_fit, now);
+    CHECK(transfer.missing_members() == 32);
+    auto one = transfer.next_request(all_fit, now);
     REQUIRE(one);
     CHECK(one->helper == 77);
-    CHECK(one->first == 32);
-    CHECK(one->members == 16);
-    transfer.take(77, {32, 16, {}}, true, now);
+    CHECK(one->first_member == 32);
+    CHECK(one->member_count == 16);
+    transfer.accept_page(77, {32, 16, {}}, true, now);
     transfer.refresh(32, 16, 77, now + second);
-    CHECK(transfer.missing() == 16);
+    CHECK(transfer.missing_members() == 16);
     CHECK(transfer.phase() == StateTransfer::Phase::Complete);
 }
 
@@ -108,7 +108,7 @@
 TEST_CASE("what a router sends itself delays its requests for pages") {
     constexpr Micros burst_takes = 300 * ms;
     Alone one(500);
-    one.hear(Alone::from(3, Kind::News));
+    one.hear(Alone::from(3, MessageType::Gossip));
     int sent = 0;
     while (one.membership->tell(3, true, one.now)) sent++;
     REQUIRE(sent >= 10);
@@ -122,12 +122,12 @@
 // How many accounts the answer to a ping brings along.
 std::size_t accounts_in_answer(Alone& one) {
     one.membership->outgoing();
-    one.hear(Alone::from(5, Kind::Ping));
+    one.hear(Alone::from(5, MessageType::Ping));
     std::size_t accounts = 0;
     for (auto& sent : one.membership->outgoing()) {
         auto read = decode(sent.bytes, one.membership->routers(), one.now);
         REQUIRE(read.message.has_value());
-        if (read.message->kind == Kind::Heard) accounts += read.message->accounts.size();
+        if (read.message->type == MessageType::Ack) accounts += read.message->records.size();
     }
     return accounts;
 }
@@ -135,11 +135,11 @@
 // A router that fetches and has heard news, after the first page of a helper that is complete or not.
 std::size_t gossip_after_a_page_of(bool complete_helper) {
     Alone one(500);
-    auto news = Alone::from(3, Kind::News);
-    for (Number who = 10; who < 14; who++) news.accounts.push_back(Alone::account_of(who));
+    auto news = Alone::from(3, MessageType::Gossip);
+    for (RouterIndex who = 10; who < 14; who++) news.records.push_back(Alone::account_of(who));
     auto asked = one.next_request();
     REQUIRE(asked);
-    auto first = asked->second.first;
+    auto first = asked->second.first_member;
     one.hear(Alone::page(asked->first, {first, first + 16, {Alone::account_of(first + 1)}}, complete_helper));
     REQUIRE(one.membership->transferring());
     one.hear(news);
@@ -170,12 +170,12 @@
     fleet.start_in_steady_state();
     fleet.run_for(12 * second);
     fleet.reset_traffic();
-    for (Number who = 0; who < starters; who++) {
+    for (RouterIndex who = 0; who < starters; who++) {
         fleet.start(who * (routers / starters));
         fleet.run_for(second);
     }
     fleet.run_for(5 * second);
-    for (Number who = 0; who < starters; who++) {
+    for (RouterIndex who = 0; who < starters; who++) {
         auto starter = who * (routers / starters);
         CHECK(fleet.share_known(starter) >= 0.99);
         CHECK(fleet.traffic(starter).busiest_window <= most_bytes_per_s);
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -33,20 +33,21 @@
 }
 
 // A datagram with something in every column.
-peers::Message filled(peers::Kind kind) {
+peers::Message filled(peers::MessageType kind) {
     peers::Message message;
     message.from = 3;
-    message.self = {sent_ms, peers::Phase::Leaving, 5, peers::Verdict::Alive, true};
+    message.sender_state = {sent_ms, peers::Phase::Leaving, 5, peers::Liveness::Alive, true};
     message.zone = 2;
-    message.kind = kind;
-    message.probe = 77'000;
-    message.about = 9;
-    message.direct = true;
-    message.accounts = {{1, {sent_ms - 1'000'000, peers::Phase::Here, 1, peers::Verdict::Suspected, false}},
-                        {4, {sent_ms + 100'000, peers::Phase::Gone, 200, peers::Verdict::Dead, true}}};
-    message.accusations = {{1, 8, 300 * millisecond}, {63, 0, 0}};
+    message.type = kind;
+    message.probe_id = 77'000;
+    message.target = 9;
+    message.direct_ping_received = true;
+    message.records = {
+        {1, {sent_ms - 1'000'000, peers::Phase::Present, 1, peers::Liveness::Suspected, false}},
+        {4, {sent_ms + 100'000, peers::Phase::Gone, 200, peers::Liveness::Dead, true}}};
+    message.suspicions = {{1, 8, 300 * millisecond}, {63, 0, 0}};
     message.link_reports = {{2, 3, 6, true}, {5, 7, 300, false}};
-    message.first = 16;
+    message.first_member = 16;
     message.hashes = {0x01020304, 0xfffefdfc};
     message.payload = "payload";
     return message;
@@ -54,48 +55,48 @@
 
 void check_same(const peers::Message& read, const peers::Message& written) {
     CHECK(read.from == written.from);
-    CHECK(read.self == written.self);
+    CHECK(read.sender_state == written.sender_state);
     CHECK(read.zone == written.zone);
-    CHECK(read.kind == written.kind);
-    CHECK(read.probe == written.probe);
-    CHECK(read.about == written.about);
-    CHECK(read.direct == written.direct);
-    CHECK(read.accounts == written.accounts);
-    CHECK(read.accusations == written.accusations);
+    CHECK(read.type == written.type);
+    CHECK(read.probe_id == written.probe_id);
+    CHECK(read.target == written.target);
+    CHECK(read.direct_ping_received == written.direct_ping_received);
+    CHECK(read.records == written.records);
+    CHECK(read.suspicions == written.suspicions);
     CHECK(read.link_reports == written.link_reports);
-    CHECK(read.first == written.first);
+    CHECK(read.first_member == written.first_member);
     CHECK(read.hashes == written.hashes);
     CHECK(read.payload == written.payload);
 }
 
 struct PinnedDatagram {
     const char* name;
-    peers::Kind kind;
+    peers::MessageType kind;
     std::string bytes;
 };
 
 const std::vector<PinnedDatagram> pinned_datagrams = {
-    {"Ping", peers::Kind::Ping,
+    {"Ping", peers::MessageType::Ping,
      "080110031880f0b3c7ad3320b1012803300138c8d904400a4801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
-    {"Heard", peers::Kind::Heard,
+    {"Heard", peers::MessageType::Ack,
      "080110031880f0b3c7ad3320b1012803300238c8d904400a4801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
-    {"Ask", peers::Kind::Ask,
+    {"Ask", peers::MessageType::PingRequest,
      "080110031880f0b3c7ad3320b1012803300338c8d90440094801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
-    {"No", peers::Kind::No,
+    {"No", peers::MessageType::Nack,
      "080110031880f0b3c7ad3320b1012803300438c8d90440094801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
-    {"Digest", peers::Kind::Digest,
+    {"Digest", peers::MessageType::Digest,
      "080110031880f0b3c7ad3320b1012803300538c8d904400a4801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
-    {"News", peers::Kind::News,
+    {"News", peers::MessageType::Gossip,
      "080110031880f0b3c7ad3320b1012803300638c8d904400a4801520201045a06ff887ac09a0c6203"
      "249a326a02013f720208007a02030082010202058a010203079201030dd804980110a20108040302"
      "01fcfdfeffaa01077061796c6f6164"},
