--- a/src/rig/partner.hpp
+++ b/src/rig/partner.hpp
@@ -51,7 +51,7 @@
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): asked of a partner, as the rest is.
     shared::ClockReadings times(peers::Micros unix) const { return {unix, partner_terms().steady()}; }
 
-    void receive(peers::Number from, std::string_view datagram, peers::Micros now) {
+    void receive(peers::RouterIndex from, std::string_view datagram, peers::Micros now) {
         exchange_->set_time(times(now));
         circle_->receive(from, datagram, now);
         share(now);
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -20,7 +20,8 @@
 constexpr Micros clocks_apart = 250 * ms;
 constexpr double spare_datagram = 120;  // bytes, about
 
-QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms, Number self) {
+QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms,
+                         RouterIndex self) {
     QuotaOptions made;
     made.self = self;
     made.routers = membership.routers();
@@ -67,7 +68,7 @@
 
 // ---- what comes
 
-void Exchange::unload(Number from, Life life, std::string_view bytes, Micros /*now*/) {
+void Exchange::unload(RouterIndex from, Generation life, std::string_view bytes, Micros /*now*/) {
     auto load = decode(bytes, last.unix);
     if (load)
         take(from, life, *load, last);
@@ -75,7 +76,7 @@
         seen.malformed++;
 }
 
-void Exchange::take(Number from, Life life, const Payload& load, const ClockReadings& now) {
+void Exchange::take(RouterIndex from, Generation life, const Payload& load, const ClockReadings& now) {
     if (terms.features.facts) {
         for (auto& fact : load.facts) seen.facts_received += facts.receive(fact, now.unix, from);
         if (load.digest != facts.digest(now.unix)) unlike[static_cast<std::size_t>(from)] = true;
@@ -146,7 +147,7 @@
             return false;
         });
         quotas.set_cold_servers(told, now.steady);
-        auto there = [&](Number who) {
+        auto there = [&](RouterIndex who) {
             auto state = membership.state(who);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
@@ -196,7 +197,7 @@
     if (now.unix < mend_at) return;
     auto behind = std::find(unlike.begin(), unlike.end(), true);
     if (behind == unlike.end()) return;
-    auto who = static_cast<Number>(behind - unlike.begin());
+    auto who = static_cast<RouterIndex>(behind - unlike.begin());
     if (membership.state(who) != peers::State::Alive)
         *behind = false;  // a datagram of its own says so anew
     else if (membership.send_piggyback_or_reserve(who, now.unix))
@@ -266,7 +267,7 @@
 int Exchange::alive_routers_in_zone() const {
     if (!terms.features.request_counts) return 1;
     int count = 1;
-    for (Number who = 0; who < membership.routers(); who++)
+    for (RouterIndex who = 0; who < membership.routers(); who++)
         if (who != membership.own_number() && membership.state(who) == peers::State::Alive &&
             membership.zone_of(who) == membership.own_zone())
             count++;
@@ -275,7 +276,7 @@
 
 // ---- what rides along
 
-std::string Exchange::load(Number to, std::size_t room, Micros now) {
+std::string Exchange::load(RouterIndex to, std::size_t room, Micros now) {
     Payload load;
     load.configuration_hash = terms.features.quotas ? hash : 0;
     load.digest = terms.features.facts ? facts.digest(now) : 0;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -80,8 +80,8 @@
     int count_request(ObjectId object, const ClockReadings& now);
     int alive_routers_in_zone() const;  // of the location, this one included
 
-    std::string load(Number to, std::size_t room, Micros now) override;
-    void unload(Number from, Life life, std::string_view bytes, Micros now) override;
+    std::string load(RouterIndex to, std::size_t room, Micros now) override;
+    void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) override;
 
     struct Counters {
         std::uint64_t malformed = 0, configuration_mismatches = 0, facts_received = 0, counts_received = 0,
@@ -103,7 +103,7 @@
         std::vector<Grant> grants;
         Micros at = 0;
     };
-    void take(Number from, Life life, const Payload& load, const ClockReadings& now);
+    void take(RouterIndex from, Generation life, const Payload& load, const ClockReadings& now);
     void tell_facts(const ClockReadings& now);
     bool is_parent(const EndpointEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
 
@@ -120,7 +120,7 @@
     Breadth breadth;
     Micros complaints_at = 0, spare_at = 0, mend_at = 0, expire_at = 0, differed_at = 0;
     std::size_t complaint_turn = 0;
-    std::map<Number, Out> out;
+    std::map<RouterIndex, Out> out;
     std::vector<bool> unlike;  // by router: its facts differ from mine
     bool facts_wait = false;   // some are to be told, and the bytes for it are being saved up
     ClockReadings last{};
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -84,7 +84,7 @@
 
 // ---- what others say
 
-bool ReplicatedFacts::receive(const Fact& fact, Micros now, Number from) {
+bool ReplicatedFacts::receive(const Fact& fact, Micros now, RouterIndex from) {
     if (fact.subject != FactSubject::Server && fact.time > in_ms(now + max_clock_skew)) return false;
     auto* known = enter(fact, false, now);
     if (!known) return false;
@@ -236,7 +236,7 @@
 
 // Guards against a cost that grows with what waits: a burst of purges fills the queue, and this is asked for
 // each datagram.
-std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, Number to) {
+std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, RouterIndex to) {
     std::vector<Fact> told;
     std::vector<Key> taken;
     while (taken.size() < max_count && !waiting.empty()) {
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void HealthReports::receive(Number witness, int zone, double trust, const Breadth& breadth,
+void HealthReports::receive(RouterIndex witness, int zone, double trust, const Breadth& breadth,
                             const Complaint& complaint, Micros now) {
     if (complaint.age >= report_lifetime || !(complaint.samples > 0)) return;
     auto of = held.find(complaint.server);
