--- a/bench/shared_state.cpp
+++ b/bench/shared_state.cpp
@@ -51,12 +51,12 @@
                                      double loss = 0.05) {
     auto& terms = rig::partner_terms();
     terms.exchange = {};
-    terms.exchange.site = rig::shared_site();
-    terms.exchange.lease = 3 * second;
+    terms.exchange.settings = rig::shared_site();
+    terms.exchange.lease_duration = 3 * second;
     static SharedFleet* running;
     running = nullptr;
     terms.steady = [] { return running ? running->now() : 1'764'576'000 * second; };
-    peers::Rates rates;
+    peers::MembershipSettings rates;
     rates.bytes_per_s = bytes_per_s;
     auto fleet = std::make_unique<SharedFleet>(routers, 1, seed, rates,
                                                rig::LinkConditions{loss, 3 * ms, 24 * ms, 0.001, 0.01});
@@ -84,7 +84,7 @@
     endpoint.entry = {parent, EndpointState::Ready, 4, 1, 0, 0, started};
     for (int i = 0; i < routers; i++)
         fleet->visit(i, [&](rig::Partner& one) {
-            one.exchange().listed({false, {endpoint}}, one.times(fleet->clock(i)));
+            one.exchange().apply_listing({false, {endpoint}}, one.times(fleet->clock(i)));
         });
     boost::random::mt19937 chance(3);
     boost::random::uniform_01<double> unit;
@@ -147,7 +147,7 @@
             one.entry = {2, listed, 4, 0, 0, 0, 0};
             other.entry = {3, EndpointState::Ready, 4, 0, 0, 0, 0};
             fleet->visit(router, [&](rig::Partner& p) {
-                p.exchange().listed({false, {one, other}}, p.times(fleet->clock(router)));
+                p.exchange().apply_listing({false, {one, other}}, p.times(fleet->clock(router)));
                 p.share(fleet->clock(router));
             });
         };
@@ -216,9 +216,10 @@
                 fleet->visit(i, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(i));
                     for (auto& server : router.servers)
-                        server.peer_report = one.exchange().hearsay(server.id, 0, times);
+                        server.peer_report = one.exchange().peer_health(server.id, 0, times);
                     if ((t - begin) / (100 * ms) % 3 == 0)
-                        one.exchange().witnessed(router.health_reports(t), router.measured_servers(t), times);
+                        one.exchange().report_health(router.health_reports(t), router.measured_servers(t),
+                                                     times);
                 });
             }
             for (auto& server : router.servers) {
@@ -277,8 +278,8 @@
             if (shared)
                 fleet->visit(i, [&](rig::Partner& one) {
                     lookup.lookups_elsewhere =
-                        one.exchange().asked(lookup.object, one.times(fleet->clock(i)));
-                    router.counting_routers = one.exchange().heard_routers();
+                        one.exchange().count_request(lookup.object, one.times(fleet->clock(i)));
+                    router.counting_routers = one.exchange().alive_routers_in_zone();
                 });
             askers[lookup.object].insert(i);
             kept.over_fleet +=
--- a/model/loans.cpp
+++ b/model/loans.cpp
@@ -34,23 +34,23 @@
 constexpr int routers = 3;
 constexpr std::size_t most_flying = 4;
 const CacheId server = [] {  // one that router 0 owns
-    QuotaTerms terms;
+    QuotaOptions terms;
     terms.routers = routers;
-    terms.owners = 1;
+    terms.grantors = 1;
     CacheId id = 1;
-    while (Quotas(terms).owners_of(id, 1)[0] != 0) id++;
+    while (Quotas(terms).grantors_of(id, 1)[0] != 0) id++;
     return id;
 }();
 
 struct Flying {
-    Number from, to;
-    Life life;  // of who asks, or was asked by
+    RouterIndex from, to;
+    Generation life;  // of who asks, or was asked by
     std::variant<Ask, Grant> what;
 };
 
 struct World {
     std::vector<Quotas> all;
-    std::vector<Life> lives = std::vector<Life>(routers, 1);
+    std::vector<Generation> lives = std::vector<Generation>(routers, 1);
     std::vector<Micros> pending =
         std::vector<Micros>(routers, 0);  // until when it may be written; 0: nothing waits
     std::vector<Flying> flying;
@@ -68,18 +68,18 @@
     }
 };
 
-Quotas fresh(Number self, Life life, Micros now, bool long_there) {
-    QuotaTerms terms;
+Quotas fresh(RouterIndex self, Generation life, Micros now, bool long_there) {
+    QuotaOptions terms;
     terms.self = self;
     terms.routers = routers;
-    terms.owners = 1;
+    terms.grantors = 1;
     terms.window = window;
-    terms.lease = lease;
+    terms.lease_duration = lease;
     terms.seed = static_cast<std::uint32_t>(self * 100 + static_cast<int>(life));
     terms.now = now;
-    if (long_there) terms.now -= 100 * Quotas(terms).new_life_waits();
+    if (long_there) terms.now -= 100 * Quotas(terms).restart_wait();
     Quotas made(terms);
-    made.list({{server, 1, work}}, now);
+    made.set_cold_servers({{server, 1, work}}, now);
     return made;
 }
 
@@ -94,7 +94,7 @@
     // The shortest trace to a broken bound, empty where none was found.
     std::vector<std::string> run() {
         World first;
-        for (Number i = 0; i < routers; i++) first.all.push_back(fresh(i, 1, begin, true));
+        for (RouterIndex i = 0; i < routers; i++) first.all.push_back(fresh(i, 1, begin, true));
         auto at = hash(first);
         parents.emplace(at, std::pair<std::uint64_t, std::string>{0, ""});
         std::deque<std::pair<std::uint64_t, World>> frontier;
@@ -141,7 +141,7 @@
         auto renumber = [&](std::uint32_t number) {
             return numbers.emplace(number, static_cast<std::int64_t>(numbers.size()) + 1).first->second;
         };
-        for (Number i = 0; i < routers; i++) {
+        for (RouterIndex i = 0; i < routers; i++) {
             auto place = static_cast<std::size_t>(i);
             world.all[place].fingerprint(words, world.now, renumber);
             words.insert(words.end(), {-77, static_cast<std::int64_t>(world.lives[place]),
@@ -162,14 +162,14 @@
     }
 
     // A router's pass: what it asks and grants goes on its way. What there is no room for is lost.
-    void pass(World& world, Number who) {
+    void pass(World& world, RouterIndex who) {
         auto& quotas = world.all[static_cast<std::size_t>(who)];
         auto life = world.lives[static_cast<std::size_t>(who)];
-        for (auto& [to, grant] : quotas.grants(world.now)) {
+        for (auto& [to, grant] : quotas.issue_grants(world.now)) {
             seen.lent = true;
             world.flying.push_back({who, to, life, grant});
         }
-        for (auto& [to, ask] : quotas.asks([](Number) { return true; }, world.now)) {
+        for (auto& [to, ask] : quotas.due_asks([](RouterIndex) { return true; }, world.now)) {
             seen.renewed |= ask.renews != 0;
             world.flying.push_back({who, to, life, ask});
         }
@@ -179,9 +179,9 @@
     void deliver(World& world, const Flying& one) {
         auto& quotas = world.all[static_cast<std::size_t>(one.to)];
         if (auto* ask = std::get_if<Ask>(&one.what))
-            quotas.asked(one.from, one.life, *ask, world.now);
+            quotas.handle_ask(one.from, one.life, *ask, world.now);
         else
-            quotas.granted(one.from, std::get<Grant>(one.what), world.now);
+            quotas.handle_grant(one.from, std::get<Grant>(one.what), world.now);
         pass(world, one.to);
     }
 
@@ -192,17 +192,17 @@
             what(next);
             out.emplace_back(name, std::move(next));
         };
-        for (Number who = 0; who < routers; who++) {
+        for (RouterIndex who = 0; who < routers; who++) {
             auto place = static_cast<std::size_t>(who);
             auto name = std::to_string(who);
             if (world.pending[place] == 0)
                 add(name + " wants", [&](World& next) {
                     auto& quotas = next.all[place];
                     if (quotas.available(server, next.now) >= work * 0.99) {
-                        next.pending[place] = quotas.use(server, work, next.now, next.now);
+                        next.pending[place] = quotas.consume(server, work, next.now, next.now);
                         (who == 0 ? seen.own_used : seen.used_loan) = true;
                     } else {
-                        quotas.missed(server, work, work, next.now);
+                        quotas.record_unmet_demand(server, work, work, next.now);
                     }
                     pass(next, who);
                 });
@@ -243,8 +243,8 @@
                 next.now += tick;
                 next.ticks++;
                 std::erase_if(next.sent, [&](auto at) { return next.now - at >= window; });
-                for (Number who = 0; who < routers; who++) {
-                    next.all[static_cast<std::size_t>(who)].list({{server, 1, work}}, next.now);
+                for (RouterIndex who = 0; who < routers; who++) {
+                    next.all[static_cast<std::size_t>(who)].set_cold_servers({{server, 1, work}}, next.now);
                     pass(next, who);
                 }
             });
--- a/src/node/turn.cpp
+++ b/src/node/turn.cpp
@@ -49,7 +49,7 @@
     if (leave_by) facts.deadline = std::min(facts.deadline, *leave_by);
     facts.write = router.traffic_types[facts.traffic].write;
     if (exchange && facts.part == 0 && !facts.write)
-        facts.lookups_elsewhere = exchange->asked(facts.object, {now, steady});
+        facts.lookups_elsewhere = exchange->count_request(facts.object, {now, steady});
     auto id = facts.id;
     open.try_emplace(id, arrived.caller, facts, arrived.lookup, now, base,
                      [this, id] { gathered.emplace_back(LookDue{id}); });
@@ -115,10 +115,10 @@
 
 // A version may narrow what the settings allow, and was checked for that.
 void Turn::tell(version::Amounts& amounts) {
-    router.max_attempts = amounts.transmissions.value_or(facts.max_attempts);
+    router.max_attempts = amounts.attempts.value_or(facts.max_attempts);
     router.hedging = amounts.second_copies.value_or(facts.hedging);
     router.max_retry_after =
-        facts.retry_after ? amounts.come_back.value_or(facts.max_retry_after) : Micros{0};
+        facts.retry_after ? amounts.max_retry_after.value_or(facts.max_retry_after) : Micros{0};
 }
 
 void Turn::tell(std::shared_ptr<const route::RuleSet>& rules) {
@@ -150,8 +150,8 @@
 }
 
 void Turn::count(bool bad) {
-    ends.ended++;
-    ends.bad += bad;
+    ends.completed++;
+    ends.unsuccessful += bad;
 }
 
 // What all routers together may send to servers that have just started, as far as it is this one's now.
@@ -159,27 +159,28 @@
     steady = Clock::steady();
     for (auto id : lent)
         if (auto* server = find_server(router, id)) server->quota = -1;
-    lent = exchange->young();
+    lent = exchange->cold_servers();
     for (auto id : lent)
-        if (auto* server = find_server(router, id)) server->quota = exchange->right(id, {now, steady});
-    router.counting_routers = exchange->heard_routers();
+        if (auto* server = find_server(router, id))
+            server->quota = exchange->available_quota(id, {now, steady});
+    router.counting_routers = exchange->alive_routers_in_zone();
 }
 
 // What the module has used of it in this turn, and what it would have used.
 void Turn::settle_quotas() {
-    shared::Times times{now, steady};
+    shared::ClockReadings times{now, steady};
     for (auto id : lent) {
         auto* server = find_server(router, id);
         if (!server || server->quota < 0) continue;
-        double used = exchange->right(id, times) - server->quota;
+        double used = exchange->available_quota(id, times) - server->quota;
         if (used > 0) {
-            auto good = exchange->use(id, used, now, times);
+            auto good = exchange->consume(id, used, now, times);
             auto [known, first] = until.emplace(id, good);
             if (!first) known->second = std::min(known->second, good);
         }
-        exchange->missed(id, std::exchange(server->quota_demand, 0) - std::max(0.0, used),
-                         server->quota_demand_per_lookup, times);
-        for (auto& one : server->returned_quota) exchange->give_back(id, one.value, one.at, times);
+        exchange->record_unmet_demand(id, std::exchange(server->quota_demand, 0) - std::max(0.0, used),
+                                      server->quota_demand_per_lookup, times);
+        for (auto& one : server->returned_quota) exchange->refund(id, one.value, one.at, times);
         server->returned_quota.clear();
     }
 }
@@ -196,12 +197,12 @@
 void Turn::weigh_opinions() {
     for (auto id : spoken_of)
         if (auto* server = find_server(router, id)) server->peer_report = {};
-    spoken_of = exchange->named();
+    spoken_of = exchange->reported_servers();
     for (auto id : spoken_of)
         if (auto* server = find_server(router, id))
-            server->peer_report = exchange->hearsay(id, server->started_at, {now, steady});
+            server->peer_report = exchange->peer_health(id, server->started_at, {now, steady});
     if (tends++ % 3 == 0)
-        exchange->witnessed(router.health_reports(now), router.measured_servers(now), {now, steady});
+        exchange->report_health(router.health_reports(now), router.measured_servers(now), {now, steady});
 }
 
 void Turn::tend(Micros reading) {
