--- a/src/peers/account.hpp
+++ b/src/peers/account.hpp
@@ -1,4 +1,4 @@
-// What is told about one member of the tier.
+// One member's number together with its state, as gossip, corrections and snapshot pages carry it.
 #pragma once
 
 #include "peers/member_state.hpp"
--- a/src/peers/bits.hpp
+++ b/src/peers/bits.hpp
@@ -1,5 +1,5 @@
-// Numbers written and read bit by bit, the most significant bit of a byte first. Codes: unary, Rice (Rice and
-// Plaunt, 1971) and Elias gamma (Elias, 1975). No I/O.
+// Writes and reads numbers bit by bit, most significant bit of a byte first, as fixed-width, unary, Rice
+// (Rice and Plaunt, 1971) and Elias gamma (Elias, 1975) codes. No I/O.
 #pragma once
 
 #include <bit>
@@ -12,76 +12,76 @@
 
 class BitWriter {
 public:
-    void put(std::uint64_t value, int width) {
-        for (int bit = width - 1; bit >= 0; bit--) put_bit((value >> bit) & 1);
+    void write(std::uint64_t value, int width) {
+        for (int bit = width - 1; bit >= 0; bit--) write_bit((value >> bit) & 1);
     }
-    // So many ones, and a zero.
-    void put_unary(std::uint64_t value) {
-        for (; value > 0; value--) put_bit(true);
-        put_bit(false);
+    // `value` ones, followed by a zero.
+    void write_unary(std::uint64_t value) {
+        for (; value > 0; value--) write_bit(true);
+        write_bit(false);
     }
-    void put_rice(std::uint64_t value, int low_bits) {
-        put_unary(value >> low_bits);
-        put(value, low_bits);
+    void write_rice(std::uint64_t value, int low_bits) {
+        write_unary(value >> low_bits);
+        write(value, low_bits);
     }
-    // From 1 on.
-    void put_gamma(std::uint64_t value) {
+    // `value` is at least 1.
+    void write_gamma(std::uint64_t value) {
         auto width = static_cast<int>(std::bit_width(value));
-        put(0, width - 1);
-        put(value, width);
+        write(0, width - 1);
+        write(value, width);
     }
-    const std::string& bytes() const { return written; }
+    const std::string& bytes() const { return buffer; }
 
 private:
-    void put_bit(bool bit) {
-        if (used % 8 == 0) written.push_back('\0');
-        if (bit) written.back() = static_cast<char>(written.back() | (0x80 >> (used % 8)));
-        used++;
+    void write_bit(bool bit) {
+        if (bit_position % 8 == 0) buffer.push_back('\0');
+        if (bit) buffer.back() = static_cast<char>(buffer.back() | (0x80 >> (bit_position % 8)));
+        bit_position++;
     }
-    std::string written;
-    std::size_t used = 0;
+    std::string buffer;
+    std::size_t bit_position = 0;
 };
 
-// Every read fails past the end.
+// Each read returns nothing where the code reaches past the end.
 class BitReader {
 public:
-    explicit BitReader(std::string_view from) : bytes(from) {}
-    std::optional<std::uint64_t> take(int width) {
-        if (static_cast<std::size_t>(width) > bytes.size() * 8 - used) return {};
+    explicit BitReader(std::string_view input) : bytes(input) {}
+    std::optional<std::uint64_t> read(int width) {
+        if (static_cast<std::size_t>(width) > bytes.size() * 8 - bit_position) return {};
         std::uint64_t value = 0;
-        for (; width > 0; width--) value = value << 1 | (next() ? 1U : 0U);
+        for (; width > 0; width--) value = value << 1 | (next_bit() ? 1U : 0U);
         return value;
     }
-    std::optional<std::uint64_t> take_unary() {
-        for (std::uint64_t value = 0; used < bytes.size() * 8; value++)
-            if (!next()) return value;
+    std::optional<std::uint64_t> read_unary() {
+        for (std::uint64_t value = 0; bit_position < bytes.size() * 8; value++)
+            if (!next_bit()) return value;
         return {};
     }
-    std::optional<std::uint64_t> take_rice(int low_bits) {
-        auto high = take_unary();
-        auto low = take(low_bits);
+    std::optional<std::uint64_t> read_rice(int low_bits) {
+        auto high = read_unary();
+        auto low = read(low_bits);
         if (!high || !low) return {};
         return *high << low_bits | *low;
     }
-    std::optional<std::uint64_t> take_gamma() {
+    std::optional<std::uint64_t> read_gamma() {
         int zeros = 0;
-        while (used < bytes.size() * 8 && !next()) zeros++;
-        if (zeros >= most_gamma_bits) return {};
-        auto low = take(zeros);
+        while (bit_position < bytes.size() * 8 && !next_bit()) zeros++;
+        if (zeros >= max_gamma_bits) return {};
+        auto low = read(zeros);
         if (!low) return {};
         return std::uint64_t{1} << zeros | *low;
     }
 
 private:
-    static constexpr int most_gamma_bits = 40;
-    bool next() {
-        auto byte = static_cast<unsigned char>(bytes[used / 8]);
-        bool bit = byte & (0x80 >> (used % 8));
-        used++;
+    static constexpr int max_gamma_bits = 40;
+    bool next_bit() {
+        auto byte = static_cast<unsigned char>(bytes[bit_position / 8]);
+        bool bit = byte & (0x80 >> (bit_position % 8));
+        bit_position++;
         return bit;
     }
     std::string_view bytes;
-    std::size_t used = 0;
+    std::size_t bit_position = 0;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/member_state.hpp
+++ b/src/peers/member_state.hpp
@@ -1,17 +1,20 @@
-// What is known of one router, and how two accounts of it are joined. The join is the only way in which an
-// account ever changes, and its order is the whole of the protocol's safety: it is commutative, associative
-// and idempotent (tests/peers_test.cpp tries every triple of a small domain), so lost, doubled, late and
-// reordered datagrams can't make two routers that have heard the same accounts differ.
+// What is known of one router, and how two such states of the same router are merged.
 //
-//   life         a router's boot number, new at each start and growing. A higher one replaces all of a lower.
-//   phase        told by the router itself; within a life it only goes forward, so a router that has left is
-//                never there again in the same life.
-//   incarnation  raised by the router itself, and by nobody else: to answer an accusation, or to change
-//   `ill`. verdict      of others, and about one incarnation: at the same incarnation suspected beats alive
-//   and dead
-//                beats suspected; a higher incarnation beats them all (SWIM, Das, Gupta, Motivala, DSN 2002,
-//                section 4.2; unlike there, dead can be answered, since a cut looks like death to both
-//                sides).
+// A state changes only by merge(), and the protocol's safety rests on that function alone: it is commutative,
+// associative and idempotent (tests/peers_test.cpp checks every triple of a small domain). Datagrams that are
+// lost, duplicated, late or reordered therefore can't make two routers differ that have received the same
+// states.
+//
+//   generation   Identifies one run of the router's process: new at each start, and growing. A higher
+//                generation replaces all of a lower one.
+//   phase        Set by the router itself. Within a generation it only moves forward, so a router that has
+//                left never returns in the same generation.
+//   incarnation  Raised by the router itself and by nobody else, to refute a suspicion or to change
+//                `unhealthy`.
+//   liveness     What others say of the router, for one incarnation. At the same incarnation Suspected
+//                overrides Alive, and Dead overrides Suspected; a higher incarnation overrides them all
+//                (SWIM, Das, Gupta, Motivala, DSN 2002, section 4.2). Unlike in SWIM, Dead can be refuted,
+//                since a network partition looks like death to both of its sides.
 #pragma once
 
 #include <algorithm>
@@ -21,12 +24,13 @@
 namespace quillgrade::peers {
 
 using Micros = std::int64_t;
-using RouterIndex = int;  // a router's place in the list of `peers`, from 0
-using Generation =
-    std::uint64_t;  // Unix milliseconds of the start, or one above an earlier life; 0: never heard of
+using RouterIndex = int;  // a router's position in the configured list of `peers`, from 0
+// Unix time in milliseconds at which the router started, or one above its previous generation; 0: not known.
+using Generation = std::uint64_t;
 
-// Routers of a tier that the protocol is built and measured for; a longer list is refused at the start. A
-// hash of a digest has 16 bits for a number, a page of a state transfer 13.
+// The most routers that a tier may have; a longer list of peers is rejected at the start. The protocol is
+// tested up to this size, a digest's hashes use 16 bits for a router's index, and a page of a state
+// transfer 13.
 inline constexpr int max_routers = 8192;
 
 enum class Phase : std::uint8_t { Present, Leaving, Gone };
@@ -37,19 +41,21 @@
     Phase phase = Phase::Present;
     std::uint32_t incarnation = 0;
     Liveness liveness = Liveness::Alive;
-    bool unhealthy = false;  // it says that it answers, but does not get its lookups handled
+    bool unhealthy = false;  // reported by the router itself: it responds, but its lookups are not served
     bool operator==(const MemberState&) const = default;
 };
 
-// What both accounts together say.
+// The least state that is not older than either of the two (their least upper bound).
 inline MemberState merge(const MemberState& one, const MemberState& other) {
     if (one.generation != other.generation) return one.generation > other.generation ? one : other;
-    auto rank = [](const MemberState& s) { return std::tuple(s.incarnation, s.liveness, s.unhealthy); };
-    auto joined = rank(one) >= rank(other) ? one : other;
-    joined.generation = std::max(one.generation, other.generation);
-    // The two halves come from different speakers, so each is joined by itself.
-    joined.phase = std::max(one.phase, other.phase);
-    return joined;
+    auto precedence = [](const MemberState& state) {
+        return std::tuple(state.incarnation, state.liveness, state.unhealthy);
+    };
+    auto merged = precedence(one) >= precedence(other) ? one : other;
+    merged.generation = std::max(one.generation, other.generation);
+    // The phase is set by the router itself and the liveness by others, so each is merged on its own.
+    merged.phase = std::max(one.phase, other.phase);
+    return merged;
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/reachability.hpp
+++ b/src/peers/reachability.hpp
@@ -1,5 +1,6 @@
-// Who hears whom, as directed facts. Only the listener can know that it does not hear, so only the listener
-// says so; what is told is a cut and its end, never that all is well. Bounded: the cuts of 64 pairs at most.
+// One-way link failures: which router's datagrams do not reach which other router directly. Only the receiver
+// can notice that nothing arrives, so only the receiver reports it. What is reported is a failure and its
+// recovery, never that a link works. Keeps the reports of 64 links at most. No I/O.
 #pragma once
 
 #include <map>
@@ -15,50 +16,56 @@
 public:
     explicit Reachability(RouterIndex self) : self(self) {}
 
-    // A datagram came from it, past all helpers. True where a cut from it to me ends with this.
-    bool record_received(RouterIndex speaker, Micros now);
-    // It has sent me something that did not come. True where this makes it a cut.
-    bool record_missed(RouterIndex speaker, Micros now);
-    // What another listener says; true where it is news.
-    bool merge_report(const LinkReport& fact, Generation listener_life, Micros now);
-    // A router's new life begins: all it said and all said of it is over. Returns the cuts that end with it.
+    // A datagram of `sender` arrived directly, without a helper. Returns true where the link from it to this
+    // router has recovered by that.
+    bool record_received(RouterIndex sender, Micros now);
+    // `sender` has sent a datagram to this router that did not arrive. Returns true where the link counts as
+    // down from now on.
+    bool record_missed(RouterIndex sender, Micros now);
+    // A report by another receiver, in its generation `receiver_generation`. Returns true where it is newer
+    // than what is known.
+    bool merge_report(const LinkReport& report, Generation receiver_generation, Micros now);
+    // A new generation of `router` begins: drops all that it reported and all that was reported of it.
+    // Returns the links that count as recovered by that.
     std::vector<LinkReport> forget(RouterIndex router);
-    // Drops the facts that their listeners have not said again for a minute. Returns the cuts that end with
-    // it.
+    // Drops the reports that their receivers have not repeated for a minute. Returns the links that count as
+    // recovered by that.
     std::vector<LinkReport> expire(Micros now);
 
-    bool is_down(RouterIndex speaker, RouterIndex listener) const;
-    // Facts to pass on, those told least often first, and counts them as told once more.
-    std::vector<LinkReport> next_reports(std::size_t most, int times);
-    // The pairs that are cut.
+    bool is_down(RouterIndex sender, RouterIndex receiver) const;
+    // Up to `max_reports` reports that were sent fewer than `max_sends` times, least often sent first; counts
+    // them as sent once more.
+    std::vector<LinkReport> next_reports(std::size_t max_reports, int max_sends);
     std::vector<LinkReport> down_links() const;
-    // At most `most` of them for a digest, others at each call until all had their turn.
-    std::vector<LinkReport> next_down_links(std::size_t most);
-    // The ends that are known here of cuts that somebody else still holds.
+    // At most `max_links` of down_links() for a digest; each call goes on where the last one ended, in a
+    // cycle.
+    std::vector<LinkReport> next_down_links(std::size_t max_links);
+    // Of the failures that another router still holds, the recoveries that are known here.
     std::vector<LinkReport> recovered_among(const std::vector<LinkReport>& held) const;
-    // Misses, but not enough to say so, and there is room to: it is worth asking again.
-    bool needs_another_probe(RouterIndex speaker) const;
+    // Datagrams of `sender` were missed, but too few to report the link, and there is room for a report.
+    bool needs_another_probe(RouterIndex sender) const;
 
 private:
-    struct Fact {
-        LinkReport what;
-        Generation life = 0;
-        Micros at = 0;
-        int told = 0;
+    struct Entry {
+        LinkReport report;
+        Generation generation = 0;  // of the receiver; 0 for reports of this router
+        Micros updated_at = 0;
+        int times_sent = 0;
     };
-    struct Ear {
-        int missed = 0;
-        Micros first = 0;
+    struct Misses {
+        int in_a_row = 0;
+        Micros first_at = 0;
     };
-    Fact* find(RouterIndex speaker, RouterIndex listener);
-    const Fact* find(RouterIndex speaker, RouterIndex listener) const;
-    bool say(RouterIndex speaker, bool cut, Micros now);  // false where there is no room for one more fact
-    template <class Ended>
-    std::vector<LinkReport> drop_facts(Ended ended);
+    Entry* find(RouterIndex sender, RouterIndex receiver);
+    const Entry* find(RouterIndex sender, RouterIndex receiver) const;
+    // Records this router's own report. Returns false where there is no room for one more entry.
+    bool report_own_link(RouterIndex sender, bool down, Micros now);
+    template <class Predicate>
+    std::vector<LinkReport> drop_entries(Predicate is_obsolete);
     RouterIndex self;
-    std::map<std::pair<RouterIndex, RouterIndex>, Fact> facts;
-    std::map<RouterIndex, Ear> ears;
-    std::uint32_t statements = 0;
+    std::map<std::pair<RouterIndex, RouterIndex>, Entry> entries;  // by sender and receiver
+    std::map<RouterIndex, Misses> misses;                          // by sender
+    std::uint32_t last_sequence = 0;
     std::size_t next_in_digest = 0;
 };
 
--- a/src/peers/round_trips.hpp
+++ b/src/peers/round_trips.hpp
@@ -1,6 +1,6 @@
-// How long answers take to come, measured by the probes: the longest round trip of the last one to two
-// minutes. An indirect probe takes two round trips, to the helper and from there to the one probed, so who
-// waits a shorter time for it accuses routers that live.
+// The longest round trip that probes measured within the last one to two minutes. An indirect probe takes two
+// round trips, to the helper and from there to the target; a prober that waits less for it suspects routers
+// that are alive.
 #pragma once
 
 #include <algorithm>
@@ -11,36 +11,36 @@
 
 class RoundTripEstimator {
 public:
-    // `longest_believed`: longer ones are a lost datagram's doing, and are taken as this.
-    RoundTripEstimator(Micros longest_believed, Micros now)
-        : longest_believed(longest_believed), begun(now) {}
-
-    void record(Micros length, Micros now) {
-        begin_generation(now);
-        current = std::max(current, std::clamp<Micros>(length, 0, longest_believed));
-        count = std::min(count + 1, enough);
+    // `upper_bound`: a longer round trip comes from a lost datagram and is recorded as this.
+    RoundTripEstimator(Micros upper_bound, Micros now) : upper_bound(upper_bound), window_start(now) {}
+
+    void record(Micros round_trip, Micros now) {
+        rotate_windows(now);
+        current_max = std::max(current_max, std::clamp<Micros>(round_trip, 0, upper_bound));
+        samples = std::min(samples + 1, min_samples);
     }
-    // The longest one believed while there are too few measured ones to go by.
+    // The upper bound while there are too few samples.
     Micros max_round_trip(Micros now) {
-        begin_generation(now);
-        return count < enough ? longest_believed : std::max(current, previous);
+        rotate_windows(now);
+        return samples < min_samples ? upper_bound : std::max(current_max, previous_max);
     }
 
 private:
-    static constexpr Micros generation = 60'000'000;
-    static constexpr int enough = 32;  // probes of some ten seconds: near and far ones are among them
-
-    void begin_generation(Micros now) {
-        if (now - begun < generation) return;
-        previous = now - begun < 2 * generation ? current : 0;
-        current = 0;
-        if (previous == 0) count = 0;
-        begun = now;
+    static constexpr Micros window = 60'000'000;
+    static constexpr int min_samples =
+        32;  // probes of some ten seconds, so near and far routers are included
+
+    void rotate_windows(Micros now) {
+        if (now - window_start < window) return;
+        previous_max = now - window_start < 2 * window ? current_max : 0;
+        current_max = 0;
+        if (previous_max == 0) samples = 0;
+        window_start = now;
     }
 
-    Micros longest_believed, begun;
-    Micros current = 0, previous = 0;
-    int count = 0;
+    Micros upper_bound, window_start;
+    Micros current_max = 0, previous_max = 0;
+    int samples = 0;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/snapshot_page.cpp
+++ b/src/peers/snapshot_page.cpp
@@ -75,28 +75,28 @@
 
 void put_missing(BitWriter& bits, int run) {
     if (run <= 0) return;
-    bits.put(0b111, 3);
-    bits.put_gamma(static_cast<std::uint64_t>(run));
+    bits.write(0b111, 3);
+    bits.write_gamma(static_cast<std::uint64_t>(run));
 }
 
 void put_state(BitWriter& bits, const MemberState& state, const Base& base) {
     if (!is_usual(state)) {
-        bits.put(0b110, 3);
-        bits.put_gamma(std::uint64_t{status_word(state)} + 1);
+        bits.write(0b110, 3);
+        bits.write_gamma(std::uint64_t{status_word(state)} + 1);
     } else if (state.incarnation > 0) {
-        bits.put(0b10, 2);
-        bits.put_gamma(state.incarnation);
+        bits.write(0b10, 2);
+        bits.write_gamma(state.incarnation);
     } else {
-        bits.put(0, 1);
+        bits.write(0, 1);
     }
-    bits.put_rice(base.latest - state.generation, base.parameter);
+    bits.write_rice(base.latest - state.generation, base.parameter);
 }
 
 // The status as its prefix says; nothing where it says that members are missing, or can't be read.
 std::optional<MemberState> take_status(BitReader& bits, std::uint64_t ones) {
     MemberState state;
     if (ones == 0) return state;
-    auto value = bits.take_gamma();
+    auto value = bits.read_gamma();
     if (!value || *value - 1 > UINT32_MAX) return {};
     if (ones == 1)
         state.incarnation = static_cast<std::uint32_t>(*value);
@@ -108,7 +108,7 @@
 // Up to three ones; a zero ends them unless there are three.
 std::optional<std::uint64_t> take_prefix(BitReader& bits) {
     for (std::uint64_t ones = 0; ones < 3; ones++) {
-        auto bit = bits.take(1);
+        auto bit = bits.read(1);
         if (!bit) return {};
         if (*bit == 0) return ones;
     }
@@ -120,13 +120,13 @@
         auto ones = take_prefix(bits);
         if (!ones) return false;
         if (*ones == 3) {
-            auto run = bits.take_gamma();
+            auto run = bits.read_gamma();
             if (!run || *run > static_cast<std::uint64_t>(page.end() - who)) return false;
             who += static_cast<RouterIndex>(*run);
             continue;
         }
         auto state = take_status(bits, *ones);
-        auto distance = state ? bits.take_rice(base.parameter) : std::nullopt;
+        auto distance = state ? bits.read_rice(base.parameter) : std::nullopt;
         if (!distance || *distance >= base.latest) return false;
         state->generation = base.latest - *distance;
         page.records.push_back({who, *state});
@@ -148,10 +148,10 @@
 std::string pack(const SnapshotPage& page) {
     auto base = base_of(page.records);
     BitWriter bits;
-    bits.put(static_cast<std::uint64_t>(page.first_member), first_bits);
-    bits.put(static_cast<std::uint64_t>(page.member_count - 1), members_bits);
-    bits.put(base.latest, life_bits);
-    bits.put(static_cast<std::uint64_t>(base.parameter), parameter_bits);
+    bits.write(static_cast<std::uint64_t>(page.first_member), first_bits);
+    bits.write(static_cast<std::uint64_t>(page.member_count - 1), members_bits);
+    bits.write(base.latest, life_bits);
+    bits.write(static_cast<std::uint64_t>(base.parameter), parameter_bits);
     RouterIndex next = page.first_member;
     for (auto& one : page.records) {
         put_missing(bits, one.member - next);
@@ -164,8 +164,8 @@
 
 std::optional<SnapshotPage> unpack(std::string_view bytes, int routers, Generation latest) {
     BitReader bits(bytes);
-    auto first = bits.take(first_bits), members = bits.take(members_bits);
-    auto life = bits.take(life_bits), parameter = bits.take(parameter_bits);
+    auto first = bits.read(first_bits), members = bits.read(members_bits);
+    auto life = bits.read(life_bits), parameter = bits.read(parameter_bits);
     if (!first || !members || !life || !parameter) return {};
     if (*life > latest || *parameter > most_parameter) return {};
     SnapshotPage page{static_cast<RouterIndex>(*first), static_cast<int>(*members) + 1, {}};
--- a/src/peers/state_transfer.cpp
+++ b/src/peers/state_transfer.cpp
@@ -12,37 +12,39 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms;
 
-// Of 4,000 bytes a second that a router may take in and send, all kinds together. With the burst, two seconds
-// hold 7,312 bytes; the rest is for gossip that comes beyond what is saved up.
+// Part of the 4,000 bytes a second that a router may receive and send in all. With the burst, any two seconds
+// hold 7,312 bytes; the rest is left for gossip that arrives beyond the saved-up budget.
 constexpr double paced_bytes_per_s = 3'400, paced_burst_bytes = 512;
 constexpr std::size_t page_bytes = max_datagram_bytes;
 
-constexpr std::size_t most_open = 4;  // requests at a time, to as many helpers
-constexpr int pages_a_request = 2;    // as many as the burst has bytes for
-constexpr int least_stripe = 64;      // members that one request claims at least, where there are as many
-constexpr double first_members_a_page = 48;  // until pages show it; lives that are days apart give some 57
+constexpr std::size_t max_open_requests = 4;  // each to another helper
+constexpr int pages_per_request = 2;          // fits into paced_burst_bytes
+// A request asks for at least so many members, where as many follow one another.
+constexpr int min_members_per_request = 64;
+// Used until pages have been received. Generations that are days apart give some 57 members per page.
+constexpr double initial_members_per_page = 48;
 
-constexpr Micros answer_limit = 600 * ms;  // twice the way to the farthest region and back
-constexpr Micros late_limit = 5 * second;  // a page that comes later than this is not used
-constexpr Micros first_pause = 50 * ms, longest_pause = 4 * second;
+constexpr Micros answer_timeout = 600 * ms;     // twice the round trip to the farthest region
+constexpr Micros late_page_limit = 5 * second;  // a page that arrives later is dropped
+constexpr Micros min_backoff = 50 * ms, max_backoff = 4 * second;
 constexpr Micros idle_limit = 10 * second, time_limit = 120 * second;
-constexpr Micros refresh_every = 5 * second;  // of one range
+constexpr Micros refresh_interval = 5 * second;  // per range
 
-constexpr std::size_t most_closed = 32, most_unanswered = 8;
-constexpr int most_draws = 24;  // of helpers, until a good one is found
+constexpr std::size_t max_closed_requests = 32, max_unanswered_helpers = 8;
+constexpr int max_helper_draws = 24;  // random draws per request to find a suitable helper
 
 int blocks_of(int routers) { return (routers + members_per_digest_hash - 1) / members_per_digest_hash; }
 
 }  // namespace
 
-StateTransfer::StateTransfer(RouterIndex own_number, int count, std::uint32_t seed, Micros now)
-    : self(own_number),
-      routers(count),
-      chance(seed),
+StateTransfer::StateTransfer(RouterIndex own_index, int router_count, std::uint32_t seed, Micros now)
+    : self(own_index),
+      routers(router_count),
+      rng(seed),
       traffic(paced_bytes_per_s, now, paced_burst_bytes),
-      needed(static_cast<std::size_t>(count)),
-      refreshed(static_cast<std::size_t>(blocks_of(count))),
-      members_a_page(first_members_a_page) {
+      needed(static_cast<std::size_t>(router_count)),
+      refreshed_at(static_cast<std::size_t>(blocks_of(router_count))),
+      members_per_page(initial_members_per_page) {
     begin(now);
 }
 
@@ -50,54 +52,54 @@
     state = Phase::Running;
     needed.assign(needed.size(), true);
     lowest_needed = 0;
-    all_claimed = false;
+    all_requested = false;
     needed[static_cast<std::size_t>(self)] = false;
     members_missing = routers - 1;
-    source.reset();
+    refresh_helper.reset();
     answered = false;
     answered_by_complete = false;
-    fruitless = 0;
-    ask_at = began = news_at = now;
+    fruitless_requests = 0;
+    next_request_at = began_at = progress_at = now;
     if (!wants_more()) finish(now);
 }
 
 void StateTransfer::refresh(RouterIndex first, int members, RouterIndex from, Micros now) {
     if (state != Phase::Complete) return;
     if (!wants_more()) {
-        began = news_at = ask_at = now;
-        fruitless = 0;
+        began_at = progress_at = next_request_at = now;
+        fruitless_requests = 0;
     }
     for (RouterIndex who = first; who < first + members; who++) {
-        auto& last = refreshed[static_cast<std::size_t>(who / members_per_digest_hash)];
+        auto& last = refreshed_at[static_cast<std::size_t>(who / members_per_digest_hash)];
         if (who == self || needed[static_cast<std::size_t>(who)]) continue;
-        if (last != 0 && last != now && now - last < refresh_every) continue;
+        if (last != 0 && last != now && now - last < refresh_interval) continue;
         last = now;
-        source = from;
+        refresh_helper = from;
         lowest_needed = std::min(lowest_needed, who);
-        all_claimed = false;
+        all_requested = false;
         needed[static_cast<std::size_t>(who)] = true;
         members_missing++;
     }
 }
 
 void StateTransfer::record_traffic(std::size_t bytes, Micros now) {
-    if (now == back_at) return;
+    if (now == resumed_at) return;
     if (traffic.left(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
 }
 
 void StateTransfer::begin_after_pause(Micros now) {
-    back_at = now;
+    resumed_at = now;
     begin(now);
 }
 
 bool StateTransfer::is_expected(RouterIndex from, const SnapshotPage& page, Micros now) const {
-    auto in_open = [&](const Open& one) {
+    auto in_open = [&](const OpenRequest& one) {
         return one.request.helper == from && page.first_member >= one.request.first_member &&
                page.end() <= one.end();
     };
-    auto in_closed = [&](const Closed& one) {
+    auto in_closed = [&](const ClosedRequest& one) {
         return one.helper == from && page.first_member >= one.first && page.end() <= one.end &&
-               now - one.at <= late_limit;
+               now - one.closed_at <= late_page_limit;
     };
     return std::any_of(open.begin(), open.end(), in_open) ||
            std::any_of(closed.begin(), closed.end(), in_closed);
@@ -111,11 +113,11 @@
             continue;
         answered = true;
         answered_by_complete |= complete;
-        traffic.spend_back(page_bytes);  // its bytes were counted when it came
-        learn_density(page);
+        traffic.spend_back(page_bytes);  // its bytes were counted on arrival
+        update_density(page);
         if (complete_members(page, complete) > 0) {
-            one.news = true;
-            news_at = now;
+            one.made_progress = true;
+            progress_at = now;
         }
         one.pages_left--;
         if (one.pages_left == 0 || page.end() == one.end()) close(i, now);
@@ -129,52 +131,55 @@
         if (open[i].request.helper == from) return close(i, now);
 }
 
-// A helper that is complete knows that there is nothing to tell of the members it leaves out.
+// `all`: the helper's own transfer has finished, so no records exist of the members that the page leaves out,
+// and all members of its range are completed. Returns the number of members completed.
 int StateTransfer::complete_members(const SnapshotPage& page, bool all) {
     int before = members_missing;
-    auto complete_one = [this](RouterIndex who) {
-        auto place = static_cast<std::size_t>(who);
-        if (!needed[place]) return;
-        needed[place] = false;
+    auto complete_member = [this](RouterIndex who) {
+        auto index = static_cast<std::size_t>(who);
+        if (!needed[index]) return;
+        needed[index] = false;
         members_missing--;
     };
     if (all)
-        for (RouterIndex who = page.first_member; who < page.end(); who++) complete_one(who);
+        for (RouterIndex who = page.first_member; who < page.end(); who++) complete_member(who);
     else
-        for (auto& one : page.records) complete_one(one.member);
+        for (auto& one : page.records) complete_member(one.member);
     return before - members_missing;
 }
 
-void StateTransfer::learn_density(const SnapshotPage& page) {
-    constexpr double weight = 0.25;
-    if (page.member_count < least_stripe / 2) return;  // the end of a range, most likely
-    members_a_page += weight * (std::min<double>(page.member_count, 4 * least_stripe) - members_a_page);
+void StateTransfer::update_density(const SnapshotPage& page) {
+    constexpr double smoothing = 0.25;
+    if (page.member_count < min_members_per_request / 2) return;  // most likely the end of a range
+    members_per_page +=
+        smoothing * (std::min<double>(page.member_count, 4 * min_members_per_request) - members_per_page);
 }
 
 int StateTransfer::pages_for(int members) const {
-    auto pages = static_cast<int>(std::ceil(members / members_a_page));
-    return std::clamp(pages, 1, pages_a_request);
+    auto pages = static_cast<int>(std::ceil(members / members_per_page));
+    return std::clamp(pages, 1, pages_per_request);
 }
 
-std::optional<RouterIndex> StateTransfer::claimed_until(RouterIndex member) const {
+std::optional<RouterIndex> StateTransfer::requested_until(RouterIndex member) const {
     for (auto& one : open)
         if (member >= one.request.first_member && member < one.end()) return one.end();
     return {};
 }
 
-// The first run of members that are missing and that no open request is about.
+// The first run of needed members that no open request covers.
 std::optional<StateTransfer::Gap> StateTransfer::first_gap() {
     while (lowest_needed < routers && !needed[static_cast<std::size_t>(lowest_needed)]) lowest_needed++;
-    auto most =
-        std::min(max_members_per_page, std::max(least_stripe, routers / static_cast<int>(most_open) + 1));
+    auto max_members =
+        std::min(max_members_per_page,
+                 std::max(min_members_per_request, routers / static_cast<int>(max_open_requests) + 1));
     for (RouterIndex who = lowest_needed; who < routers;) {
-        if (auto end = claimed_until(who)) {
+        if (auto end = requested_until(who)) {
             who = *end;
             continue;
         }
         RouterIndex end = who;
-        while (end < routers && end - who < most && needed[static_cast<std::size_t>(end)] &&
-               !claimed_until(end))
+        while (end < routers && end - who < max_members && needed[static_cast<std::size_t>(end)] &&
+               !requested_until(end))
             end++;
         if (end > who) return Gap{who, end - who};
         who++;
@@ -187,72 +192,76 @@
            std::count(unanswered.begin(), unanswered.end(), helper) > 0;
 }
 
-// Every other request prefers a helper of the own zone, where the way is short; the others spread over all
-// zones, so that the loss of one zone, or its wrong view, is never all that is heard.
-std::optional<RouterIndex> StateTransfer::choose(const Ranking& rank) {
-    if (source) {
-        if (!avoided(*source)) return source;
-        if (std::count(unanswered.begin(), unanswered.end(), *source) == 0) return {};  // still answering
-        source.reset();
+// Every other request prefers a helper of this router's zone, where round trips are short. The others are
+// spread over all zones, so that a transfer never depends on one zone alone, which may fail or have a wrong
+// view.
+std::optional<RouterIndex> StateTransfer::choose_helper(const Ranking& rank) {
+    if (refresh_helper) {
+        if (!avoided(*refresh_helper)) return refresh_helper;
+        if (std::count(unanswered.begin(), unanswered.end(), *refresh_helper) == 0)
+            return {};  // its request is open
+        refresh_helper.reset();
     }
     std::optional<RouterIndex> best;
     auto best_rank = HelperRank::Unusable;
-    prefer_near = !prefer_near;
-    auto enough = prefer_near ? HelperRank::SameZone : HelperRank::Usable;
+    prefer_same_zone = !prefer_same_zone;
+    auto sufficient = prefer_same_zone ? HelperRank::SameZone : HelperRank::Usable;
     boost::random::uniform_int_distribution<RouterIndex> draw(0, routers - 1);
-    for (int i = 0; i < most_draws && best_rank < enough; i++) {
-        auto who = draw(chance);
+    for (int i = 0; i < max_helper_draws && best_rank < sufficient; i++) {
+        auto who = draw(rng);
         if (who == self || avoided(who)) continue;
-        auto found = rank(who);
-        if (found <= best_rank) continue;
+        auto helper_rank = rank(who);
+        if (helper_rank <= best_rank) continue;
         best = who;
-        best_rank = found;
+        best_rank = helper_rank;
     }
-    // In a small tier all may be avoided.
+    // In a small tier all helpers may be among those avoided.
     if (!best && !unanswered.empty()) unanswered.pop_front();
     return best;
 }
 
 std::optional<RangeRequest> StateTransfer::next_request(const Ranking& rank, Micros now) {
-    if (!wants_more() || state == Phase::Failed || now < ask_at || open.size() >= most_open) return {};
+    if (!wants_more() || state == Phase::Failed || now < next_request_at || open.size() >= max_open_requests)
+        return {};
     auto gap = first_gap();
-    all_claimed = !gap;
+    all_requested = !gap;
     if (!gap) return {};
     auto pages = pages_for(gap->members);
     auto bytes = static_cast<std::size_t>(pages) * page_bytes;
     if (traffic.left(now) < static_cast<double>(bytes)) return {};
-    auto helper = choose(rank);
+    auto helper = choose_helper(rank);
     if (!helper) {
-        ask_at = now + first_pause;
+        next_request_at = now + min_backoff;
         return {};
     }
     RangeRequest request{*helper, gap->first, gap->members, pages};
     traffic.spend(bytes);
-    open.push_back({request, now + answer_limit, pages});
+    open.push_back({request, now + answer_timeout, pages});
     return request;
 }
 
-// What did not come is not counted as come.
+// Gives back the bytes that were reserved for pages that did not arrive.
 void StateTransfer::close(std::size_t index, Micros now) {
     auto one = open[index];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
-    all_claimed = false;
+    all_requested = false;
     traffic.spend_back(static_cast<std::size_t>(one.pages_left) * page_bytes);
     closed.push_back({one.request.helper, one.request.first_member, one.end(), now});
-    if (closed.size() > most_closed) closed.pop_front();
-    if (one.news)
-        fruitless = 0;
+    if (closed.size() > max_closed_requests) closed.pop_front();
+    if (one.made_progress)
+        fruitless_requests = 0;
     else
-        nothing_new(now);
+        back_off(now);
 }
 
-// Guards against helpers that are all slow, full or as new as this one: asking them faster makes it worse.
-void StateTransfer::nothing_new(Micros now) {
-    constexpr int most_doublings = 7;
-    auto pause = std::min(first_pause << std::min(fruitless, most_doublings), longest_pause);
-    fruitless++;
+// Guards against helpers that are all slow, overloaded or just started themselves: asking them more often
+// would add to their load.
+void StateTransfer::back_off(Micros now) {
+    constexpr int max_doublings = 7;
+    auto pause = std::min(min_backoff << std::min(fruitless_requests, max_doublings), max_backoff);
+    fruitless_requests++;
     boost::random::uniform_int_distribution<Micros> draw(pause / 2, pause);
-    ask_at = now + draw(chance);
+    next_request_at = now + draw(rng);
 }
 
 void StateTransfer::expire(Micros now) {
@@ -260,18 +269,18 @@
         if (now < open[i - 1].deadline) continue;
         bool silent = open[i - 1].pages_left == open[i - 1].request.max_pages;
         if (silent) unanswered.push_back(open[i - 1].request.helper);
-        if (unanswered.size() > most_unanswered) unanswered.pop_front();
+        if (unanswered.size() > max_unanswered_helpers) unanswered.pop_front();
         close(i - 1, now);
     }
     if (!wants_more() || state == Phase::Failed) return;
-    if (now - news_at >= idle_limit || now - began >= time_limit) finish(now);
+    if (now - progress_at >= idle_limit || now - began_at >= time_limit) finish(now);
 }
 
-// Whoever has asked in vain for so long knows by gossip and digests what there is to know; only if nobody has
-// answered at all it knows nothing.
+// Also called when the limits are reached: by then gossip and digests have brought the records that exist.
+// Only if no helper has answered at all has the transfer failed.
 void StateTransfer::finish(Micros now) {
-    bool alone = state == Phase::Running && routers > 1 && !answered;
-    state = alone ? Phase::Failed : Phase::Complete;
+    bool no_answer = state == Phase::Running && routers > 1 && !answered;
+    state = no_answer ? Phase::Failed : Phase::Complete;
     needed.assign(needed.size(), false);
     members_missing = 0;
     while (!open.empty()) close(open.size() - 1, now);
@@ -282,16 +291,16 @@
     Micros at = never;
     for (auto& one : open) at = std::min(at, one.deadline);
     if (!wants_more()) return at;
-    at = std::min({at, news_at + idle_limit, began + time_limit});
-    if (open.size() >= most_open || all_claimed) return at;
-    auto earned = traffic.when(static_cast<double>(pages_a_request * page_bytes)) + ms;
-    return std::min(at, std::max(ask_at, earned));
+    at = std::min({at, progress_at + idle_limit, began_at + time_limit});
+    if (open.size() >= max_open_requests || all_requested) return at;
+    auto affordable_at = traffic.when(static_cast<double>(pages_per_request * page_bytes)) + ms;
+    return std::min(at, std::max(next_request_at, affordable_at));
 }
 
 std::size_t StateTransfer::bytes_held() const {
-    return sizeof *this + needed.size() / 8 + refreshed.size() * sizeof(Micros) +
-           open.capacity() * sizeof(Open) + most_closed * sizeof(Closed) +
-           most_unanswered * sizeof(RouterIndex);
+    return sizeof *this + needed.size() / 8 + refreshed_at.size() * sizeof(Micros) +
+           open.capacity() * sizeof(OpenRequest) + max_closed_requests * sizeof(ClosedRequest) +
+           max_unanswered_helpers * sizeof(RouterIndex);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/state_transfer.hpp
+++ b/src/peers/state_transfer.hpp
@@ -1,16 +1,22 @@
-// State transfer, as the one who asks: which accounts are still to be fetched, from whom, and how fast. A
-// router that starts asks others for ranges of members and gets pages (snapshot_page.hpp) until it has them
-// all; later the same fetches the ranges in which its digests differ from those of others. It is told the
-// time and what came, and says what to ask for. No I/O.
+// The requesting side of state transfer: which records are still to be fetched, from which helpers, and at
+// what rate. A router that starts requests ranges of members from other routers and receives pages
+// (snapshot_page.hpp) until it has them all. After that it fetches the ranges in which its digests differ
+// from those of others. The caller passes in the time and what was received, and sends what is returned. No
+// I/O.
 //
-//   - What it brings is paced here: pages are asked for only while `traffic`, which counts every datagram
-//     that comes or is sent, has bytes for them.
-//   - Any page may get lost, come twice, late, or from a helper that knows less than others: pages are joined
-//     to what is known, and a helper that has not finished its own transfer completes only members that it
-//     has accounts of.
-//   - It ends: when all is fetched; or after `idle_limit` without anything new, or `time_limit` in all.
-//   Helpers
-//     that don't answer are followed by others, after pauses that double up to `longest_pause`.
+//     StateTransfer transfer(own_index, routers, seed, now);
+//     transfer.record_traffic(datagram.size(), now);  // for each datagram received or sent
+//     if (transfer.is_expected(from, page, now)) transfer.accept_page(from, page, complete, now);
+//     transfer.expire(now);  // at the latest at transfer.next_check()
+//     while (auto request = transfer.next_request(rank, now)) send(*request);
+//
+// - Pacing: pages are requested only while the byte budget, which counts every datagram received or sent, has
+//   room for them.
+// - Any page may be lost, duplicated, late, or come from a helper that knows less than others. The caller
+//   merges pages into what it knows, and a page of a helper that has not finished its own transfer completes
+//   only the members that it has records of.
+// - A transfer ends when all is fetched, after `idle_limit` without progress, or after `time_limit` in all.
+//   Helpers that don't answer are replaced by others, after pauses that double up to `max_backoff`.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -31,66 +37,70 @@
     int max_pages = 0;
 };
 
-// How well a member suits as a helper. One that is only listed is as good as one known to be alive: else all
-// routers of a tier that starts would ask the few that all have heard of.
+// How suitable a member is as a helper. A member that is only listed ranks as high as one known to be alive:
+// otherwise all routers of a tier that starts would ask the few that all have heard of.
 enum class HelperRank {
-    Unusable,  // known to be gone, dead, or cut off
+    Unusable,  // known to be gone, dead or unreachable
     Usable,
-    SameZone  // alive, and of the own zone
+    SameZone  // alive, and in this router's zone
 };
 
 class StateTransfer {
 public:
     enum class Phase {
-        Running,   // the first fetch
-        Complete,  // it has ended; ranges may be fetched anew
-        Failed     // nobody answered
+        Running,   // the first transfer
+        Complete,  // it has ended; ranges may be refreshed
+        Failed     // it has ended without any answer
     };
     using Ranking = std::function<HelperRank(RouterIndex)>;
 
-    StateTransfer(RouterIndex own_number, int count, std::uint32_t seed, Micros now);
+    StateTransfer(RouterIndex own_index, int router_count, std::uint32_t seed, Micros now);
 
-    // Fetches all anew, as at a start.
+    // Fetches all records anew, as at a start.
     void begin(Micros now);
-    // The same after this router was stopped: what it hears at this time came before, and costs no bytes now.
+    // The same after this process was stopped. Datagrams that are read at `now` arrived during the stop and
+    // are not counted against the byte budget.
     void begin_after_pause(Micros now);
-    // Fetches a range in which the accounts of `from` differ, from it if it answers, unless that was done a
-    // short time ago.
+    // Fetches a range in which the records of `from` differ, from that router if it answers. Does nothing for
+    // members that were refreshed a short time ago, or before the first transfer has completed.
     void refresh(RouterIndex first, int members, RouterIndex from, Micros now);
 
-    // Each datagram that comes or is sent, whatever it is.
+    // To be called for each datagram received or sent, of any type.
     void record_traffic(std::size_t bytes, Micros now);
-    // Whether `from` was asked for such a page a short time ago. Others are not to be used.
+    // Whether the page lies in a range that `from` was asked for a short time ago. Other pages must be
+    // dropped.
     bool is_expected(RouterIndex from, const SnapshotPage& page, Micros now) const;
+    // `complete`: the helper says that its own transfer has finished.
     void accept_page(RouterIndex from, const SnapshotPage& page, bool complete, Micros now);
     // The helper says that it can't answer now.
     void accept_busy(RouterIndex from, Micros now);
 
-    // What is to be asked now, if anything; it counts as asked.
+    // The next request to be sent, if any; it counts as sent.
     std::optional<RangeRequest> next_request(const Ranking& rank, Micros now);
-    // Requests whose time is up end, and the whole by its limits.
+    // Ends requests that have timed out, and the transfer when it reaches its limits.
     void expire(Micros now);
-    // When `expire` or `next` has something to do at the latest.
+    // When `expire` or `next_request` has to be called at the latest.
     Micros next_check() const;
 
     Phase phase() const { return state; }
-    // Since it began a helper has answered that had finished its own: the tier is not starting as a whole.
+    // Whether a helper that has finished its own transfer has answered since this one began, which shows that
+    // the tier is not starting as a whole.
     bool complete_helper_answered() const { return answered_by_complete; }
     int missing_members() const { return members_missing; }
     std::size_t bytes_held() const;
 
 private:
-    struct Open {
+    struct OpenRequest {
         RangeRequest request;
         Micros deadline;
         int pages_left;
-        bool news = false;  // some of its pages completed members
+        bool made_progress = false;  // some of its pages completed members
         RouterIndex end() const { return request.first_member + request.member_count; }
     };
-    struct Closed {
+    struct ClosedRequest {
         RouterIndex helper;
         RouterIndex first, end;
-        Micros at;
+        Micros closed_at;
     };
     struct Gap {
         RouterIndex first = 0;
@@ -99,37 +109,37 @@
 
     bool wants_more() const { return members_missing > 0; }
     std::optional<Gap> first_gap();
-    std::optional<RouterIndex> claimed_until(RouterIndex member) const;
-    std::optional<RouterIndex> choose(const Ranking& rank);
+    std::optional<RouterIndex> requested_until(RouterIndex member) const;
+    std::optional<RouterIndex> choose_helper(const Ranking& rank);
     bool avoided(RouterIndex helper) const;
     int complete_members(const SnapshotPage& page, bool all);
     int pages_for(int members) const;
-    void learn_density(const SnapshotPage& page);
+    void update_density(const SnapshotPage& page);
     void close(std::size_t index, Micros now);
-    void nothing_new(Micros now);
+    void back_off(Micros now);
     void finish(Micros now);
 
     RouterIndex self;
     int routers;
-    boost::random::taus88 chance;
+    boost::random::taus88 rng;
     Phase state = Phase::Running;
     ByteBudget traffic;
     bool answered_by_complete = false;
-    std::vector<bool> needed;       // by member
-    std::vector<Micros> refreshed;  // by block of members: when it was fetched anew last
+    std::vector<bool> needed;          // by member
+    std::vector<Micros> refreshed_at;  // by block of members that a digest hash covers
     int members_missing = 0;
-    RouterIndex lowest_needed = 0;  // none below is needed
-    bool all_claimed = false;       // open requests are about all that is needed
-    double members_a_page;          // as pages showed so far
-    std::vector<Open> open;
-    std::deque<Closed> closed;           // the last few
-    std::deque<RouterIndex> unanswered;  // helpers that let a request's time run out
-    bool answered = false;               // somebody has, since the beginning
-    std::optional<RouterIndex> source;   // of the ranges that are fetched anew
-    bool prefer_near = true;
-    int fruitless = 0;  // requests in a row that brought nothing new
-    Micros ask_at = 0;
-    Micros began = 0, news_at = 0, back_at = -1;
+    RouterIndex lowest_needed = 0;  // no member below is needed
+    bool all_requested = false;     // open requests cover all that is needed
+    double members_per_page;        // moving average over the pages received
+    std::vector<OpenRequest> open;
+    std::deque<ClosedRequest> closed;           // the latest
+    std::deque<RouterIndex> unanswered;         // helpers whose requests timed out, the latest
+    bool answered = false;                      // a helper has answered since the beginning
+    std::optional<RouterIndex> refresh_helper;  // the router whose records differed
+    bool prefer_same_zone = true;
+    int fruitless_requests = 0;  // in a row, without progress
+    Micros next_request_at = 0;
+    Micros began_at = 0, progress_at = 0, resumed_at = -1;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/status_word.hpp
+++ b/src/peers/status_word.hpp
@@ -1,5 +1,5 @@
-// What a router's account says beside its life, as one number on the wire:
-// incarnation * 32 + ill * 16 + verdict * 4 + phase.
+// A member's state without its generation, as one number on the wire:
+// incarnation * 32 + unhealthy * 16 + liveness * 4 + phase.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
            static_cast<std::uint32_t>(state.liveness) * 4 + static_cast<std::uint32_t>(state.phase);
 }
 
-// False where the word names no phase or verdict; the life of `into` stays as it is.
+// Returns false where the word holds no valid phase or liveness. The generation of `into` stays as it is.
 inline bool parse_status_word(std::uint32_t word, MemberState& into) {
-    auto phase = word % 4, verdict = word / 4 % 4;
+    auto phase = word % 4, liveness = word / 4 % 4;
     into.unhealthy = word & 16;
     into.incarnation = word / 32;
     into.phase = static_cast<Phase>(phase);
-    into.liveness = static_cast<Liveness>(verdict);
-    return phase <= 2 && verdict <= 2;
+    into.liveness = static_cast<Liveness>(liveness);
+    return phase <= 2 && liveness <= 2;
 }
 
 }  // namespace quillgrade::peers
