--- a/src/node/sharing.hpp
+++ b/src/node/sharing.hpp
@@ -14,8 +14,8 @@
 class Sharing {
 public:
     // `peers` and `turn` outlive this; the turn shares with it from now on.
-    Sharing(PeerPort& peers, const operate::Sharing& plan, const launch::Launch& launch, Clock& clock,
-            Turn& turn);
+    Sharing(PeerPort& peers, const operate::SharedStateConfig& plan, const launch::Launch& launch,
+            Clock& clock, Turn& turn);
     ~Sharing();
     Sharing(const Sharing&) = delete;
     Sharing& operator=(const Sharing&) = delete;
@@ -27,7 +27,7 @@
     void say_all();  // the last line
 
 private:
-    void say(const shared::Facts::Changes& changes, Micros now);
+    void say(const shared::ReplicatedFacts::Changes& changes, Micros now);
 
     Turn& turn;
     shared::Exchange exchange;
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -47,8 +47,8 @@
     ping.probe_id = next_probe;
     next_probe = next_probe % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
-    auto wait = rates.period * local_health.stretch();
-    probes.push_back({ping.probe_id, target, now, now + rates.period / 6, now + wait, now + wait});
+    auto wait = settings.probe_period * local_health.stretch();
+    probes.push_back({ping.probe_id, target, now, now + settings.probe_period / 6, now + wait, now + wait});
     // Where one direction is known to be cut, helpers are asked at once, and the ping only tells whether it
     // still is.
     if (reachability.is_down(number, target) || reachability.is_down(target, number))
@@ -73,7 +73,7 @@
 // into the choice of helpers, since what cuts one off cuts off its neighbours.
 void Membership::step(Probe& probe, Micros now) {
     auto step_after = [&](Micros wait) { probe.step_at = now + wait < probe.asks_end ? now + wait : never; };
-    step_after(rates.period / 6 * local_health.stretch());
+    step_after(settings.probe_period / 6 * local_health.stretch());
     // Whom it has accused already, it only tells so.
     auto* suspicion = suspicions.find(probe.target);
     bool said = suspicion && !suspicion->ask_first &&
@@ -81,7 +81,7 @@
     if (!thought_there(probe.target) || said) return;
     bool cut = reachability.is_down(number, probe.target) || reachability.is_down(probe.target, number);
     if (cut) {
-        step_after(rates.period / 3 * local_health.stretch());
+        step_after(settings.probe_period / 3 * local_health.stretch());
         probe.steps++;
     } else {
         Message ping;
@@ -90,7 +90,8 @@
         probe.starved |= !send(probe.target, ping, SendPriority::Insist, now);
     }
     if (probe.steps++ == 0) return;
-    for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : rates.helpers), probe.target)) {
+    for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : settings.indirect_probe_helpers),
+                            probe.target)) {
         Message ask;
         ask.type = MessageType::PingRequest;
         ask.probe_id = probe.number;
@@ -147,7 +148,7 @@
     if (reachability.is_down(number, probe.target) || reachability.is_down(probe.target, number)) return;
     // A helper that says no shows that this router is heard; those that say nothing put itself in doubt.
     if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.worse();
-    seen.accused++;
+    seen.accusations++;
     accuse(probe.target, number, 0, now);
     // The accused hears it first, so that it can answer before many have to be told otherwise.
     Message news;
@@ -196,7 +197,7 @@
     // For somebody whose own ping should have come as well. Back through the helper, and straight: so both
     // ends learn which directions are whole.
     heard.target = ping.target;
-    heard.direct_ping_received = at(ping.target).heard > now - rates.period * 4;
+    heard.direct_ping_received = at(ping.target).heard > now - settings.probe_period * 4;
     send(ping.from, heard, SendPriority::Answer, now);
     if (!heard.direct_ping_received && reachability.record_missed(ping.target, now))
         note_cut(ping.target, number, true, ping.from, now);
@@ -246,8 +247,8 @@
     ping.probe_id = ask.probe_id;
     ping.target = ask.from;
     if (!send(ask.target, ping, SendPriority::IndirectProbe, now)) return;
-    indirect_probes.push_back(
-        {ask.probe_id, ask.from, ask.target, now + rates.period / 6, now + rates.period * 4});
+    indirect_probes.push_back({ask.probe_id, ask.from, ask.target, now + settings.probe_period / 6,
+                               now + settings.probe_period * 4});
 }
 
 void Membership::say_no_to_askers(Micros now) {
--- a/src/peers/message.hpp
+++ b/src/peers/message.hpp
@@ -29,7 +29,7 @@
 // Nack says that the target of an indirect probe has not answered so far.
 enum class MessageType { Ping = 1, Ack, PingRequest, Nack, Digest, Gossip, RangeRequest, RangePage };
 
-// Types that are sent and accepted only with Rates::state_transfer.
+// Types that are sent and accepted only with MembershipSettings::state_transfer.
 inline bool is_state_transfer(MessageType type) {
     return type == MessageType::RangeRequest || type == MessageType::RangePage;
 }
--- a/src/peers/page_server.hpp
+++ b/src/peers/page_server.hpp
@@ -12,7 +12,7 @@
 
 class PageSendBudget {
 public:
-    // `membership_bytes_per_s`: Rates::bytes_per_s.
+    // `membership_bytes_per_s`: MembershipSettings::bytes_per_s.
     PageSendBudget(double membership_bytes_per_s, Micros now)
         : reserved_bytes(membership_bytes_per_s * reserved_seconds),
           pages(pages_bytes_per_s, now, pages_burst_bytes),
@@ -20,7 +20,7 @@
     }
     bool allows_page(std::size_t bytes, Micros now) {
         auto needed = static_cast<double>(bytes);
-        return pages.left(now) >= needed && total.left(now) >= reserved_bytes + needed;
+        return pages.available(now) >= needed && total.available(now) >= reserved_bytes + needed;
     }
     void spend_page(std::size_t bytes) {
         pages.spend(bytes);
@@ -29,7 +29,7 @@
     // Counts bytes of the router's own membership traffic.
     void spend_membership(std::size_t bytes) { total.spend(bytes); }
     // Bytes that the membership may send now.
-    double available_bytes(Micros now) { return total.left(now); }
+    double available_bytes(Micros now) { return total.available(now); }
 
 private:
     // A starting router fetches some 26 KB at 5,900 routers. When a tenth of a tier starts at once each
--- a/src/peers/state_transfer.cpp
+++ b/src/peers/state_transfer.cpp
@@ -84,7 +84,7 @@
 
 void StateTransfer::record_traffic(std::size_t bytes, Micros now) {
     if (now == resumed_at) return;
-    if (traffic.left(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
+    if (traffic.available(now) > -2 * paced_bytes_per_s) traffic.spend(bytes);
 }
 
 void StateTransfer::begin_after_pause(Micros now) {
@@ -113,7 +113,7 @@
             continue;
         answered = true;
         answered_by_complete |= complete;
-        traffic.spend_back(page_bytes);  // its bytes were counted on arrival
+        traffic.refund(page_bytes);  // its bytes were counted on arrival
         update_density(page);
         if (complete_members(page, complete) > 0) {
             one.made_progress = true;
@@ -228,7 +228,7 @@
     if (!gap) return {};
     auto pages = pages_for(gap->members);
     auto bytes = static_cast<std::size_t>(pages) * page_bytes;
-    if (traffic.left(now) < static_cast<double>(bytes)) return {};
+    if (traffic.available(now) < static_cast<double>(bytes)) return {};
     auto helper = choose_helper(rank);
     if (!helper) {
         next_request_at = now + min_backoff;
@@ -245,7 +245,7 @@
     auto one = open[index];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     all_requested = false;
-    traffic.spend_back(static_cast<std::size_t>(one.pages_left) * page_bytes);
+    traffic.refund(static_cast<std::size_t>(one.pages_left) * page_bytes);
     closed.push_back({one.request.helper, one.request.first_member, one.end(), now});
     if (closed.size() > max_closed_requests) closed.pop_front();
     if (one.made_progress)
@@ -293,7 +293,7 @@
     if (!wants_more()) return at;
     at = std::min({at, progress_at + idle_limit, began_at + time_limit});
     if (open.size() >= max_open_requests || all_requested) return at;
-    auto affordable_at = traffic.when(static_cast<double>(pages_per_request * page_bytes)) + ms;
+    auto affordable_at = traffic.available_at(static_cast<double>(pages_per_request * page_bytes)) + ms;
     return std::min(at, std::max(next_request_at, affordable_at));
 }
 
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -42,22 +42,22 @@
     return made;
 }
 
-peers::Start start_of(peers::RouterIndex self, int zone, const HollowTerms& terms, Micros now) {
-    peers::Start start;
+peers::MembershipConfig start_of(peers::RouterIndex self, int zone, const HollowTerms& terms, Micros now) {
+    peers::MembershipConfig start;
     start.self = self;
     start.routers = terms.addresses->routers();
     start.zone = zone;
     start.life = static_cast<peers::Generation>(now / 1000);
     start.seed = terms.seed + static_cast<std::uint64_t>(self);
     start.now = now;
-    start.rates = terms.rates;
+    start.settings = terms.rates;
     return start;
 }
 
-shared::Terms shared_terms_of(peers::RouterIndex self, const HollowTerms& terms, Micros now) {
-    shared::Terms made;
-    made.site = static_cast<const Bounds&>(terms.launch->facts);
-    made.parts.facts = terms.shared_facts;
+shared::ExchangeOptions shared_terms_of(peers::RouterIndex self, const HollowTerms& terms, Micros now) {
+    shared::ExchangeOptions made;
+    made.settings = static_cast<const RoutingSettings&>(terms.launch->facts);
+    made.features.facts = terms.shared_facts;
     made.now = {now, node::Clock::steady()};
     made.seed = static_cast<std::uint32_t>(terms.seed + static_cast<std::uint64_t>(self) * 2654435761U) ^
                 static_cast<std::uint32_t>(now);
@@ -78,8 +78,9 @@
     return found == numbers.end() ? -1 : found->second;
 }
 
-HollowRouter::Life::Life(event_base* base, const HollowTerms& terms, const peers::Start& start,
-                         const shared::Terms& shared_terms, EventNumber last_event, std::size_t machine)
+HollowRouter::Life::Life(event_base* base, const HollowTerms& terms, const peers::MembershipConfig& start,
+                         const shared::ExchangeOptions& shared_terms, EventNumber last_event,
+                         std::size_t machine)
     : membership(start),
       exchange(membership, shared_terms),
       coordinator(base, terms.control_machines.at(machine), terms.launch->terms, last_event, clock, gathered),
@@ -138,39 +139,39 @@
     if (!life || !(woken || !received.empty() || !life->gathered.empty())) return;
     woken = false;
     auto now = life->clock.now();
-    shared::Times times{now, node::Clock::steady()};
+    shared::ClockReadings times{now, node::Clock::steady()};
     hear(times);
     take_events(times);
     share(times);
-    if (now >= life->membership.due()) life->membership.pass(now);
+    if (now >= life->membership.next_tick()) life->membership.tick(now);
     look_for_a_control_machine(now);
     send();
     note_changes();
     terms.members->running(self, life->membership.self());
-    wake.set(life->membership.due() - now);
+    wake.set(life->membership.next_tick() - now);
 }
 
-void HollowRouter::hear(const shared::Times& now) {
-    life->exchange.at(now);
-    for (auto& [from, bytes] : received) life->membership.hear(from, bytes, now.unix);
+void HollowRouter::hear(const shared::ClockReadings& now) {
+    life->exchange.set_time(now);
+    for (auto& [from, bytes] : received) life->membership.receive(from, bytes, now.unix);
     received.clear();
 }
 
-void HollowRouter::take_events(const shared::Times& now) {
+void HollowRouter::take_events(const shared::ClockReadings& now) {
     for (auto& value : life->gathered) {
         auto& event = std::get<feed::Event>(value);
         terms.arrivals->arrived(self, event.number, now.unix);
         if (auto* listing = std::get_if<feed::Listing>(&event.what))
-            life->exchange.listed(std::move(*listing), now);
+            life->exchange.apply_listing(std::move(*listing), now);
         else if (auto* purge = std::get_if<feed::PurgeNotice>(&event.what))
-            life->exchange.purged(*purge, now);
+            life->exchange.record_purge(*purge, now);
     }
     life->gathered.clear();
 }
 
 // A purge that another router told of has arrived too.
-void HollowRouter::share(const shared::Times& now) {
-    auto changes = life->exchange.pass(life->coordinator.live_since(), now);
+void HollowRouter::share(const shared::ClockReadings& now) {
+    auto changes = life->exchange.tick(life->coordinator.live_since(), now);
     for (auto& purge : changes.purges)
         if (purge.object >= purged_object_base)
             terms.arrivals->arrived(self, event_of(purge.object), now.unix);
@@ -185,7 +186,7 @@
 }
 
 void HollowRouter::send() {
-    for (auto& one : life->membership.outgoing()) {
+    for (auto& one : life->membership.take_outgoing()) {
         auto to = to_system(terms.addresses->address_of(one.to));
         // What the system has no room for is lost, as on the way.
         sendto(socket, one.bytes.data(), one.bytes.size(), 0, reinterpret_cast<sockaddr*>(&to), sizeof to);
@@ -196,10 +197,10 @@
 }
 
 void HollowRouter::note_changes() {
-    for (auto& change : life->membership.changes())
+    for (auto& change : life->membership.take_state_changes())
         if (change.after == peers::State::Dead) deaths.emplace_back(change.who, change.at);
-    life->membership.heard_of();
-    life->membership.health();
+    life->membership.take_link_reports();
+    life->membership.take_health_changes();
 }
 
 // Ends as soon as too many are known to be missing, since it is asked often.
--- a/src/rig/scale/scenarios.cpp
+++ b/src/rig/scale/scenarios.cpp
@@ -65,7 +65,7 @@
 class DeathObserver {
 public:
     explicit DeathObserver(SimulatedFleet& fleet) : fleet(fleet) {
-        fleet.on_change = [this](RouterIndex observer, const peers::Change& change) {
+        fleet.on_change = [this](RouterIndex observer, const peers::StateChange& change) {
             note(observer, change);
         };
     }
@@ -84,7 +84,7 @@
     int take_false_declarations() { return std::exchange(falsely, 0); }
 
 private:
-    void note(RouterIndex observer, const peers::Change& change) {
+    void note(RouterIndex observer, const peers::StateChange& change) {
         if (change.after != peers::State::Dead) return;
         if (fleet.runs(change.who)) {
             falsely += fleet.membership(change.who)->self().generation == change.member_state.generation;
--- a/src/rig/scale/simulated_fleet.hpp
+++ b/src/rig/scale/simulated_fleet.hpp
@@ -23,7 +23,7 @@
 struct FleetOptions {
     std::uint64_t seed = 1;
     double loss = 0.01;
-    peers::Rates rates{};
+    peers::MembershipSettings rates{};
     bool with_exchange = false;
 };
 
@@ -70,7 +70,7 @@
     // Share of the live members whose exact account `who` holds.
     double share_known(RouterIndex who) const;
 
-    std::function<void(RouterIndex observer, const peers::Change&)> on_change;
+    std::function<void(RouterIndex observer, const peers::StateChange&)> on_change;
     // By its own stream, or as a fact that it had not heard yet.
     std::function<void(RouterIndex router, const feed::PurgeNotice&)> on_purge;
 
@@ -108,8 +108,8 @@
     Router& at(RouterIndex who) { return members[static_cast<std::size_t>(who)]; }
     const Router& at(RouterIndex who) const { return members[static_cast<std::size_t>(who)]; }
     Micros clock(const Router& router) const { return time + router.skew; }
-    shared::Times times(const Router& router) const { return {clock(router), time}; }
-    peers::Start start_of(RouterIndex who);
+    shared::ClockReadings times(const Router& router) const { return {clock(router), time}; }
+    peers::MembershipConfig start_of(RouterIndex who);
     std::string page_of(RouterIndex teller, RouterIndex first) const;
     void introduce(RouterIndex who, const std::vector<Page>& pages,
                    const std::vector<std::string>& greetings);
