--- a/tests/state_transfer_test.cpp
+++ b/tests/state_transfer_test.cpp
@@ -12,8 +12,8 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
 
-using transfer_scenarios::all_fit;
-using transfer_scenarios::Alone;
+using transfer_scenarios::all_usable;
+using transfer_scenarios::SingleRouter;
 
 }  // namespace
 
@@ -24,31 +24,31 @@
 }
 
 TEST_CASE("a page in another's name, or out of range, changes nothing") {
-    Alone one(20);
-    auto asked = one.next_request();
+    SingleRouter router(20);
+    auto asked = router.next_request();
     REQUIRE(asked);
-    auto page = Alone::page(asked->first, {1, 19, {Alone::account_of(8)}}, true);
+    auto page = SingleRouter::page_message(asked->first, {1, 19, {SingleRouter::record_of(8)}}, true);
     auto other = asked->first == 4 ? 5 : 4;
-    one.membership->receive(other, encode(page), one.now);
-    one.membership->receive(-1, encode(page), one.now);
-    auto& dropped = one.membership->counters().dropped;
+    router.membership->receive(other, encode(page), router.now);
+    router.membership->receive(-1, encode(page), router.now);
+    auto& dropped = router.membership->counters().dropped;
     CHECK(dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)] == 2);
     page.page = SnapshotPage{10, 20, {}};
-    one.hear(page);
-    auto bytes = encode(Alone::page(asked->first, {1, 19, {}}, true));
-    one.membership->receive(asked->first, bytes.substr(0, bytes.size() - 4), one.now);
+    router.receive(page);
+    auto bytes = encode(SingleRouter::page_message(asked->first, {1, 19, {}}, true));
+    router.membership->receive(asked->first, bytes.substr(0, bytes.size() - 4), router.now);
     CHECK(dropped[static_cast<std::size_t>(DropReason::OutOfRange)] +
               dropped[static_cast<std::size_t>(DropReason::Malformed)] ==
           2);
-    CHECK(one.known(8).generation == 0);
-    CHECK(one.membership->transferring());
+    CHECK(router.known_state(8).generation == 0);
+    CHECK(router.membership->transferring());
 }
 
 TEST_CASE("several helpers are asked at a time, for different ranges, none of them twice") {
     StateTransfer transfer(0, 5000, 1, noon_at);
     std::vector<RangeRequest> asked;
     for (auto now = noon_at; now < noon_at + 500 * ms; now += 10 * ms)
-        if (auto one = transfer.next_request(all_fit, now)) asked.push_back(*one);
+        if (auto one = transfer.next_request(all_usable, now)) asked.push_back(*one);
     REQUIRE(asked.size() >= 2);
     CHECK(asked.size() <= 4);
     for (std::size_t i = 1; i < asked.size(); i++) {
@@ -59,10 +59,10 @@
 
 TEST_CASE("a busy helper is followed by another one") {
     StateTransfer transfer(0, 60, 1, noon_at);
-    auto first = transfer.next_request(all_fit, noon_at + 100 * ms);
+    auto first = transfer.next_request(all_usable, noon_at + 100 * ms);
     REQUIRE(first);
     transfer.accept_busy(first->helper, noon_at + 120 * ms);
-    auto next = transfer.next_request(all_fit, noon_at + 400 * ms);
+    auto next = transfer.next_request(all_usable, noon_at + 400 * ms);
     REQUIRE(next);
     CHECK(next->first_member == first->first_member);
 }
@@ -70,13 +70,13 @@
 TEST_CASE("ranges that differ are fetched from whom they differ, not again at once") {
     StateTransfer transfer(0, 100, 1, noon_at);
     for (auto now = noon_at; transfer.phase() == StateTransfer::Phase::Running; now += 50 * ms)
-        if (auto one = transfer.next_request(all_fit, now))
+        if (auto one = transfer.next_request(all_usable, now))
             transfer.accept_page(one->helper, {one->first_member, one->member_count, {}}, true, now);
     auto now = noon_at + 10 * second;
     transfer.refresh(32, 16, 77, now);
     transfer.refresh(64, 16, 77, now);
     CHECK(transfer.missing_members() == 32);
-    auto one = transfer.next_request(all_fit, now);
+    auto one = transfer.next_request(all_usable, now);
     REQUIRE(one);
     CHECK(one->helper == 77);
     CHECK(one->first_member == 32);
@@ -94,7 +94,7 @@
     MembershipConfig start;
     start.routers = 8192;
     start.now = noon_at;
-    start.settings = transfer_scenarios::rates_with_transfer();
+    start.settings = transfer_scenarios::settings_with_transfer();
     Membership on(start);
     start.settings.state_transfer = false;
     Membership off(start);
@@ -107,25 +107,25 @@
 // Four kilobytes a second are meant for what comes and what goes together.
 TEST_CASE("what a router sends itself delays its requests for pages") {
     constexpr Micros burst_takes = 300 * ms;
-    Alone one(500);
-    one.hear(Alone::from(3, MessageType::Gossip));
+    SingleRouter router(500);
+    router.receive(SingleRouter::message_from(3, MessageType::Gossip));
     int sent = 0;
-    while (one.membership->send_piggyback(3, true, one.now)) sent++;
+    while (router.membership->send_piggyback(3, true, router.now)) sent++;
     REQUIRE(sent >= 10);
-    auto from = one.now;
-    REQUIRE(one.next_request());
-    CHECK(one.now - from >= burst_takes);
+    auto from = router.now;
+    REQUIRE(router.next_request());
+    CHECK(router.now - from >= burst_takes);
 }
 
 namespace {
 
 // How many accounts the answer to a ping brings along.
-std::size_t accounts_in_answer(Alone& one) {
-    one.membership->take_outgoing();
-    one.hear(Alone::from(5, MessageType::Ping));
+std::size_t accounts_in_answer(SingleRouter& router) {
+    router.membership->take_outgoing();
+    router.receive(SingleRouter::message_from(5, MessageType::Ping));
     std::size_t accounts = 0;
-    for (auto& sent : one.membership->take_outgoing()) {
-        auto read = decode(sent.bytes, one.membership->routers(), one.now);
+    for (auto& sent : router.membership->take_outgoing()) {
+        auto read = decode(sent.bytes, router.membership->routers(), router.now);
         REQUIRE(read.message.has_value());
         if (read.message->type == MessageType::Ack) accounts += read.message->records.size();
     }
@@ -134,18 +134,19 @@
 
 // A router that fetches and has heard news, after the first page of a helper that is complete or not.
 std::size_t gossip_after_a_page_of(bool complete_helper) {
-    Alone one(500);
-    auto news = Alone::from(3, MessageType::Gossip);
-    for (RouterIndex who = 10; who < 14; who++) news.records.push_back(Alone::account_of(who));
-    auto asked = one.next_request();
+    SingleRouter router(500);
+    auto news = SingleRouter::message_from(3, MessageType::Gossip);
+    for (RouterIndex who = 10; who < 14; who++) news.records.push_back(SingleRouter::record_of(who));
+    auto asked = router.next_request();
     REQUIRE(asked);
     auto first = asked->second.first_member;
-    one.hear(Alone::page(asked->first, {first, first + 16, {Alone::account_of(first + 1)}}, complete_helper));
-    REQUIRE(one.membership->transferring());
-    one.hear(news);
-    one.now += second;
-    one.membership->tick(one.now);
-    return accounts_in_answer(one);
+    router.receive(SingleRouter::page_message(
+        asked->first, {first, first + 16, {SingleRouter::record_of(first + 1)}}, complete_helper));
+    REQUIRE(router.membership->transferring());
+    router.receive(news);
+    router.now += second;
+    router.membership->tick(router.now);
+    return accounts_in_answer(router);
 }
 
 }  // namespace
