--- a/tests/state_transfer_test.cpp
+++ b/tests/state_transfer_test.cpp
@@ -1,5 +1,5 @@
-// State transfer: the scenarios, and the requester by itself. Which guards they need is in
-// flaws/peers_flaws.cpp.
+// State transfer: the scenarios of flaws/transfer_scenarios.hpp, and the requester by itself.
+// flaws/peers_flaws.cpp shows which guard each scenario tests.
 #include <doctest/doctest.h>
 
 #include "flaws/transfer_scenarios.hpp"
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-TEST_CASE("state transfer holds in each scenario") {
+TEST_CASE("state transfer meets the expectation of each scenario") {
     for (auto& one : transfer_scenarios::scenarios) {
         SUBCASE(one.name) { CHECK(one.holds()); }
     }
 }
 
-TEST_CASE("a page in another's name, or out of range, changes nothing") {
+TEST_CASE("a page from an unexpected sender, out of range or truncated changes nothing") {
     SingleRouter router(20);
     auto asked = router.next_request();
     REQUIRE(asked);
@@ -44,7 +44,7 @@
     CHECK(router.membership->transferring());
 }
 
-TEST_CASE("several helpers are asked at a time, for different ranges, none of them twice") {
+TEST_CASE("requests are open at several helpers at a time, for ranges that do not overlap") {
     StateTransfer transfer(0, 5000, 1, noon_at);
     std::vector<RangeRequest> asked;
     for (auto now = noon_at; now < noon_at + 500 * ms; now += 10 * ms)
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_CASE("a busy helper is followed by another one") {
+TEST_CASE("the range of a busy helper is requested again") {
     StateTransfer transfer(0, 60, 1, noon_at);
     auto first = transfer.next_request(all_usable, noon_at + 100 * ms);
     REQUIRE(first);
@@ -67,7 +67,7 @@
     CHECK(next->first_member == first->first_member);
 }
 
-TEST_CASE("ranges that differ are fetched from whom they differ, not again at once") {
+TEST_CASE("a differing range is fetched from the router whose records differ, and not again at once") {
     StateTransfer transfer(0, 100, 1, noon_at);
     for (auto now = noon_at; transfer.phase() == StateTransfer::Phase::Running; now += 50 * ms)
         if (auto one = transfer.next_request(all_usable, now))
@@ -87,7 +87,7 @@
     CHECK(transfer.phase() == StateTransfer::Phase::Complete);
 }
 
-TEST_CASE("memory stays within 64 bytes a router and some KB, and grows with nothing that comes") {
+TEST_CASE("state transfer takes under 16 KB at 8,192 routers, and memory does not grow with pages received") {
     transfer_scenarios::Tier tier(200, 61);
     tier.settle();
     auto before = tier.sim.protocol(9)->bytes_held();
@@ -104,9 +104,9 @@
     CHECK(tier.sim.protocol(9)->bytes_held() < before + 4096);
 }
 
-// Four kilobytes a second are meant for what comes and what goes together.
-TEST_CASE("what a router sends itself delays its requests for pages") {
-    constexpr Micros burst_takes = 300 * ms;
+// The limit of 4,000 bytes a second applies to received and sent bytes together.
+TEST_CASE("bytes that a router sends delay its requests for pages") {
+    constexpr Micros refill_time = 300 * ms;
     SingleRouter router(500);
     router.receive(SingleRouter::message_from(3, MessageType::Gossip));
     int sent = 0;
@@ -114,26 +114,27 @@
     REQUIRE(sent >= 10);
     auto from = router.now;
     REQUIRE(router.next_request());
-    CHECK(router.now - from >= burst_takes);
+    CHECK(router.now - from >= refill_time);
 }
 
 namespace {
 
-// How many accounts the answer to a ping brings along.
-std::size_t accounts_in_answer(SingleRouter& router) {
+// The number of records in the answer to a ping.
+std::size_t records_in_answer(SingleRouter& router) {
     router.membership->take_outgoing();
     router.receive(SingleRouter::message_from(5, MessageType::Ping));
-    std::size_t accounts = 0;
+    std::size_t records = 0;
     for (auto& sent : router.membership->take_outgoing()) {
         auto read = decode(sent.bytes, router.membership->routers(), router.now);
         REQUIRE(read.message.has_value());
-        if (read.message->type == MessageType::Ack) accounts += read.message->records.size();
+        if (read.message->type == MessageType::Ack) records += read.message->records.size();
     }
-    return accounts;
+    return records;
 }
 
-// A router that fetches and has heard news, after the first page of a helper that is complete or not.
-std::size_t gossip_after_a_page_of(bool complete_helper) {
+// The number of records that a router with an open transfer passes on, after the first page of a helper whose
+// own transfer has finished or not.
+std::size_t gossip_after_page_from(bool complete_helper) {
     SingleRouter router(500);
     auto news = SingleRouter::message_from(3, MessageType::Gossip);
     for (RouterIndex who = 10; who < 14; who++) news.records.push_back(SingleRouter::record_of(who));
@@ -146,22 +147,22 @@
     router.receive(news);
     router.now += second;
     router.membership->tick(router.now);
-    return accounts_in_answer(router);
+    return records_in_answer(router);
 }
 
 }  // namespace
 
-TEST_CASE("while it fetches from a tier that is complete, a router leaves gossip to the others") {
-    CHECK(gossip_after_a_page_of(true) == 0);
+TEST_CASE("a router that fetches from a complete helper leaves gossip to the others") {
+    CHECK(gossip_after_page_from(true) == 0);
 }
 
-TEST_CASE("where all start at once, routers gossip while they fetch") {
-    CHECK(gossip_after_a_page_of(false) > 0);
+TEST_CASE("a router that fetches from an incomplete helper gossips, as all routers may be starting") {
+    CHECK(gossip_after_page_from(false) > 0);
 }
 
-TEST_CASE("a router that starts takes in and sends at most 4,000 bytes a second over any two seconds") {
-    constexpr int routers = 600, starters = 6;
-    constexpr double most_bytes_per_s = 4'000;
+TEST_CASE("a starting router receives and sends at most 4,000 bytes a second over any two seconds") {
+    constexpr int routers = 600, starting_routers = 6;
+    constexpr double max_bytes_per_s = 4'000;
     rig::scale::Topology topology(routers);
     rig::scale::FleetOptions options;
     options.seed = 36;
@@ -171,14 +172,14 @@
     fleet.start_in_steady_state();
     fleet.run_for(12 * second);
     fleet.reset_traffic();
-    for (RouterIndex who = 0; who < starters; who++) {
-        fleet.start(who * (routers / starters));
+    for (RouterIndex who = 0; who < starting_routers; who++) {
+        fleet.start(who * (routers / starting_routers));
         fleet.run_for(second);
     }
     fleet.run_for(5 * second);
-    for (RouterIndex who = 0; who < starters; who++) {
-        auto starter = who * (routers / starters);
+    for (RouterIndex who = 0; who < starting_routers; who++) {
+        auto starter = who * (routers / starting_routers);
         CHECK(fleet.share_known(starter) >= 0.99);
-        CHECK(fleet.traffic(starter).busiest_window <= most_bytes_per_s);
+        CHECK(fleet.traffic(starter).busiest_window <= max_bytes_per_s);
     }
 }
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1,6 +1,6 @@
-// The bytes on the wire, pinned: routers of different builds talk with each other, so a renamed field or a
-// tidied encoder must not change them. A test that fails here means a new format number, not new bytes in the
-// table.
+// Pins the bytes on the wire. Routers of different builds communicate with each other, so a renamed field or
+// a refactored encoder must not change them. Where such a test fails, a change needs a new format number, not
+// new bytes in the table.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -32,13 +32,13 @@
     return bytes;
 }
 
-// A datagram with something in every column.
-peers::Message filled(peers::MessageType kind) {
+// A datagram with a value in every column.
+peers::Message full_message(peers::MessageType type) {
     peers::Message message;
     message.from = 3;
     message.sender_state = {sent_ms, peers::Phase::Leaving, 5, peers::Liveness::Alive, true};
     message.zone = 2;
-    message.type = kind;
+    message.type = type;
     message.probe_id = 77'000;
     message.target = 9;
     message.direct_ping_received = true;
@@ -70,8 +70,8 @@
 }
 
 struct PinnedDatagram {
-    const char* name;
-    peers::MessageType kind;
+    const char* name;  // of the type in peers.proto
+    peers::MessageType type;
     std::string bytes;
 };
 
@@ -102,8 +102,8 @@
      "01fcfdfeffaa01077061796c6f6164"},
 };
 
-// A payload with something in every field.
-shared::Payload filled_payload() {
+// A payload with a value in every field.
+shared::Payload full_payload() {
     shared::Payload payload;
     payload.configuration_hash = 0x11223344;
     payload.digest = 0xa1b2c3d4;
@@ -129,24 +129,24 @@
 
 }  // namespace
 
-TEST_CASE("the bytes of each kind of datagram stay as they are") {
+TEST_CASE("each type of datagram is encoded to the pinned bytes") {
     for (auto& pinned : pinned_datagrams) {
         INFO(std::string(pinned.name));
-        CHECK(hex(peers::encode(filled(pinned.kind))) == pinned.bytes);
+        CHECK(hex(peers::encode(full_message(pinned.type))) == pinned.bytes);
     }
 }
 
-TEST_CASE("the pinned datagrams are read as what they were written from") {
+TEST_CASE("the pinned bytes of each type of datagram decode to the original message") {
     for (auto& pinned : pinned_datagrams) {
         INFO(std::string(pinned.name));
         auto decoded = peers::decode(bytes_of(pinned.bytes), routers, sent_at);
         REQUIRE(decoded.message);
-        check_same(*decoded.message, filled(pinned.kind));
+        check_same(*decoded.message, full_message(pinned.type));
     }
 }
 
-TEST_CASE("the bytes of a payload stay as they are") {
-    auto written = shared::encode(filled_payload(), payload_room, sent_at);
+TEST_CASE("a payload is encoded to the pinned bytes") {
+    auto written = shared::encode(full_payload(), payload_room, sent_at);
     CHECK(hex(written.bytes) == pinned_payload);
     CHECK(written.grants == 1);
     CHECK(written.asks == 1);
@@ -155,10 +155,10 @@
     CHECK(written.counts == 2);
 }
 
-TEST_CASE("the pinned payload is read as what it was written from") {
+TEST_CASE("the pinned bytes of a payload decode to the original payload") {
     auto read = shared::decode(bytes_of(pinned_payload), sent_at);
     REQUIRE(read);
-    auto written = filled_payload();
+    auto written = full_payload();
     CHECK(read->configuration_hash == written.configuration_hash);
     CHECK(read->digest == written.digest);
     CHECK(read->facts == written.facts);
