--- a/src/peers/page_server.hpp
+++ b/src/peers/page_server.hpp
@@ -40,8 +40,8 @@
     static constexpr double total_bytes_per_s = 2'800, burst_seconds = 0.925;
     // The total rate is at least the membership's own rate and this much.
     static constexpr double min_pages_bytes_per_s = 800;
-    // Share of the membership's rate that pages leave free: what the membership itself keeps back from the
-    // least urgent of its own datagrams.
+    // Seconds of the membership's rate that pages leave unused: as much as the membership itself keeps back
+    // from the least urgent of its own datagrams.
     static constexpr double reserved_seconds = 0.7;
     static double total_rate(double membership_rate) {
         return std::max(total_bytes_per_s, membership_rate + min_pages_bytes_per_s);
--- a/tests/flaws/transfer_scenarios.hpp
+++ b/tests/flaws/transfer_scenarios.hpp
@@ -338,7 +338,7 @@
     known.reserve(19);
     for (RouterIndex who = 1; who < 20; who++) known.push_back(SingleRouter::record_of(who));
     auto less = known;
-    std::erase_if(less, [](auto& account) { return account.member > 10; });
+    std::erase_if(less, [](auto& record) { return record.member > 10; });
     auto first = router.next_request();
     if (!first) return false;
     router.receive(SingleRouter::page_message(first->first, {1, 19, less}, false));
@@ -391,9 +391,9 @@
     router.receive(alive);
     auto asked = router.next_request();
     if (!asked) return false;
-    auto dead = SingleRouter::record_of(7), unheard = SingleRouter::record_of(8);
-    dead.member_state.liveness = unheard.member_state.liveness = Liveness::Dead;
-    router.receive(SingleRouter::page_message(asked->first, {1, 19, {dead, unheard}}, true));
+    auto dead = SingleRouter::record_of(7), unknown = SingleRouter::record_of(8);
+    dead.member_state.liveness = unknown.member_state.liveness = Liveness::Dead;
+    router.receive(SingleRouter::page_message(asked->first, {1, 19, {dead, unknown}}, true));
     return router.membership->state(7) == State::Alive && router.membership->state(8) == State::Dead;
 }
 
