--- a/src/peers/snapshot_page.cpp
+++ b/src/peers/snapshot_page.cpp
@@ -145,7 +145,7 @@
 
 }  // namespace
 
-std::string pack(const SnapshotPage& page) {
+std::string encode_page(const SnapshotPage& page) {
     auto code = best_code(page.records);
     BitWriter bits;
     bits.write(static_cast<std::uint64_t>(page.first_member), first_bits);
@@ -162,7 +162,7 @@
     return bits.bytes();
 }
 
-std::optional<SnapshotPage> unpack(std::string_view bytes, int routers, Generation latest) {
+std::optional<SnapshotPage> decode_page(std::string_view bytes, int routers, Generation latest) {
     BitReader bits(bytes);
     auto first = bits.read(first_bits), members = bits.read(members_bits);
     auto generation = bits.read(generation_bits), rice_parameter = bits.read(rice_parameter_bits);
@@ -172,7 +172,7 @@
     if (page.end() > routers) return {};
     if (!read_members(bits, {*generation, static_cast<int>(*rice_parameter)}, page)) return {};
     // Guards against bits past the end, and against several encodings of one page.
-    if (pack(page) != bytes) return {};
+    if (encode_page(page) != bytes) return {};
     return page;
 }
 
