--- a/src/peers/state_transfer.cpp
+++ b/src/peers/state_transfer.cpp
@@ -69,15 +69,15 @@
         began_at = progress_at = next_request_at = now;
         fruitless_requests = 0;
     }
-    for (RouterIndex who = first; who < first + members; who++) {
-        auto& last = refreshed_at[static_cast<std::size_t>(who / members_per_digest_hash)];
-        if (who == self || needed[static_cast<std::size_t>(who)]) continue;
+    for (RouterIndex member = first; member < first + members; member++) {
+        auto& last = refreshed_at[static_cast<std::size_t>(member / members_per_digest_hash)];
+        if (member == self || needed[static_cast<std::size_t>(member)]) continue;
         if (last != 0 && last != now && now - last < refresh_interval) continue;
         last = now;
         refresh_helper = from;
-        lowest_needed = std::min(lowest_needed, who);
+        lowest_needed = std::min(lowest_needed, member);
         all_requested = false;
-        needed[static_cast<std::size_t>(who)] = true;
+        needed[static_cast<std::size_t>(member)] = true;
         members_missing++;
     }
 }
@@ -93,13 +93,13 @@
 }
 
 bool StateTransfer::is_expected(RouterIndex from, const SnapshotPage& page, Micros now) const {
-    auto in_open = [&](const OpenRequest& one) {
-        return one.request.helper == from && page.first_member >= one.request.first_member &&
-               page.end() <= one.end();
+    auto in_open = [&](const OpenRequest& open_request) {
+        return open_request.request.helper == from &&
+               page.first_member >= open_request.request.first_member && page.end() <= open_request.end();
     };
-    auto in_closed = [&](const ClosedRequest& one) {
-        return one.helper == from && page.first_member >= one.first && page.end() <= one.end &&
-               now - one.closed_at <= late_page_limit;
+    auto in_closed = [&](const ClosedRequest& closed_request) {
+        return closed_request.helper == from && page.first_member >= closed_request.first &&
+               page.end() <= closed_request.end && now - closed_request.closed_at <= late_page_limit;
     };
     return std::any_of(open.begin(), open.end(), in_open) ||
            std::any_of(closed.begin(), closed.end(), in_closed);
@@ -107,20 +107,20 @@
 
 void StateTransfer::accept_page(RouterIndex from, const SnapshotPage& page, bool complete, Micros now) {
     for (std::size_t i = 0; i < open.size(); i++) {
-        auto& one = open[i];
-        if (one.request.helper != from || page.first_member < one.request.first_member ||
-            page.end() > one.end())
+        auto& open_request = open[i];
+        if (open_request.request.helper != from || page.first_member < open_request.request.first_member ||
+            page.end() > open_request.end())
             continue;
         answered = true;
         answered_by_complete |= complete;
         traffic.refund(page_bytes);  // its bytes were counted on arrival
         update_density(page);
         if (complete_members(page, complete) > 0) {
-            one.made_progress = true;
+            open_request.made_progress = true;
             progress_at = now;
         }
-        one.pages_left--;
-        if (one.pages_left == 0 || page.end() == one.end()) close(i, now);
+        open_request.pages_left--;
+        if (open_request.pages_left == 0 || page.end() == open_request.end()) close(i, now);
         if (!wants_more()) finish(now);
         return;
     }
@@ -135,16 +135,16 @@
 // and all members of its range are completed. Returns the number of members completed.
 int StateTransfer::complete_members(const SnapshotPage& page, bool all) {
     int before = members_missing;
-    auto complete_member = [this](RouterIndex who) {
-        auto index = static_cast<std::size_t>(who);
+    auto complete_member = [this](RouterIndex member) {
+        auto index = static_cast<std::size_t>(member);
         if (!needed[index]) return;
         needed[index] = false;
         members_missing--;
     };
     if (all)
-        for (RouterIndex who = page.first_member; who < page.end(); who++) complete_member(who);
+        for (RouterIndex member = page.first_member; member < page.end(); member++) complete_member(member);
     else
-        for (auto& one : page.records) complete_member(one.member);
+        for (auto& record : page.records) complete_member(record.member);
     return before - members_missing;
 }
 
@@ -161,8 +161,9 @@
 }
 
 std::optional<RouterIndex> StateTransfer::requested_until(RouterIndex member) const {
-    for (auto& one : open)
-        if (member >= one.request.first_member && member < one.end()) return one.end();
+    for (auto& open_request : open)
+        if (member >= open_request.request.first_member && member < open_request.end())
+            return open_request.end();
     return {};
 }
 
@@ -172,23 +173,24 @@
     auto max_members =
         std::min(max_members_per_page,
                  std::max(min_members_per_request, routers / static_cast<int>(max_open_requests) + 1));
-    for (RouterIndex who = lowest_needed; who < routers;) {
-        if (auto end = requested_until(who)) {
-            who = *end;
+    for (RouterIndex member = lowest_needed; member < routers;) {
+        if (auto end = requested_until(member)) {
+            member = *end;
             continue;
         }
-        RouterIndex end = who;
-        while (end < routers && end - who < max_members && needed[static_cast<std::size_t>(end)] &&
+        RouterIndex end = member;
+        while (end < routers && end - member < max_members && needed[static_cast<std::size_t>(end)] &&
                !requested_until(end))
             end++;
-        if (end > who) return Gap{who, end - who};
-        who++;
+        if (end > member) return Gap{member, end - member};
+        member++;
     }
     return {};
 }
 
 bool StateTransfer::avoided(RouterIndex helper) const {
-    return std::any_of(open.begin(), open.end(), [&](auto& one) { return one.request.helper == helper; }) ||
+    return std::any_of(open.begin(), open.end(),
+                       [&](auto& open_request) { return open_request.request.helper == helper; }) ||
            std::count(unanswered.begin(), unanswered.end(), helper) > 0;
 }
 
@@ -208,11 +210,11 @@
     auto sufficient = prefer_same_zone ? HelperRank::SameZone : HelperRank::Usable;
     boost::random::uniform_int_distribution<RouterIndex> draw(0, routers - 1);
     for (int i = 0; i < max_helper_draws && best_rank < sufficient; i++) {
-        auto who = draw(rng);
-        if (who == self || avoided(who)) continue;
-        auto helper_rank = rank(who);
+        auto candidate = draw(rng);
+        if (candidate == self || avoided(candidate)) continue;
+        auto helper_rank = rank(candidate);
         if (helper_rank <= best_rank) continue;
-        best = who;
+        best = candidate;
         best_rank = helper_rank;
     }
     // In a small tier all helpers may be among those avoided.
@@ -242,13 +244,13 @@
 
 // Gives back the bytes that were reserved for pages that did not arrive.
 void StateTransfer::close(std::size_t index, Micros now) {
-    auto one = open[index];
+    auto closing = open[index];
     open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     all_requested = false;
-    traffic.refund(static_cast<std::size_t>(one.pages_left) * page_bytes);
-    closed.push_back({one.request.helper, one.request.first_member, one.end(), now});
+    traffic.refund(static_cast<std::size_t>(closing.pages_left) * page_bytes);
+    closed.push_back({closing.request.helper, closing.request.first_member, closing.end(), now});
     if (closed.size() > max_closed_requests) closed.pop_front();
-    if (one.made_progress)
+    if (closing.made_progress)
         fruitless_requests = 0;
     else
         back_off(now);
@@ -289,7 +291,7 @@
 Micros StateTransfer::next_check() const {
     constexpr Micros never = INT64_MAX;
     Micros at = never;
-    for (auto& one : open) at = std::min(at, one.deadline);
+    for (auto& open_request : open) at = std::min(at, open_request.deadline);
     if (!wants_more()) return at;
     at = std::min({at, progress_at + idle_limit, began_at + time_limit});
     if (open.size() >= max_open_requests || all_requested) return at;
