--- a/src/peers/byte_budget.hpp
+++ b/src/peers/byte_budget.hpp
@@ -1,5 +1,5 @@
-// Bytes that may be sent or asked for: a token bucket of so many a second, with two seconds, or another
-// amount, saved up at most.
+// A token bucket of bytes: it fills at a fixed rate up to a burst, and sending or requesting data spends from
+// it.
 #pragma once
 
 #include <algorithm>
@@ -11,28 +11,31 @@
 
 class ByteBudget {
 public:
+    // Saves up two seconds' worth at most, and starts with one second's worth.
     ByteBudget(double bytes_per_s, Micros now)
-        : rate(bytes_per_s), most(2 * bytes_per_s), at(now), saved(bytes_per_s) {}
-    // `burst`: what can be saved up, and is there at the beginning.
+        : rate(bytes_per_s), capacity(2 * bytes_per_s), updated_at(now), saved(bytes_per_s) {}
+    // Saves up `burst` bytes at most, and starts with them.
     ByteBudget(double bytes_per_s, Micros now, double burst)
-        : rate(bytes_per_s), most(burst), at(now), saved(burst) {}
-    // Bytes there are. What is sent may go below 0 by one datagram, and has to be earned then.
+        : rate(bytes_per_s), capacity(burst), updated_at(now), saved(burst) {}
+    // Bytes that may be spent now. Negative by up to one datagram after the budget was overdrawn; later
+    // income pays that back first.
     double available(Micros now) {
-        saved = std::min(most, saved + rate * static_cast<double>(std::max<Micros>(0, now - at)) / 1e6);
-        at = std::max(at, now);
+        saved = std::min(capacity,
+                         saved + rate * static_cast<double>(std::max<Micros>(0, now - updated_at)) / 1e6);
+        updated_at = std::max(updated_at, now);
         return saved;
     }
     void spend(std::size_t bytes) { saved -= static_cast<double>(bytes); }
-    // When there will be so many, if none is spent before.
+    // When `bytes` will be available if none are spent before.
     Micros available_at(double bytes) const {
-        return at + static_cast<Micros>(std::max(0.0, bytes - saved) / rate * 1e6);
+        return updated_at + static_cast<Micros>(std::max(0.0, bytes - saved) / rate * 1e6);
     }
-    void refund(std::size_t bytes) { saved = std::min(most, saved + static_cast<double>(bytes)); }
+    void refund(std::size_t bytes) { saved = std::min(capacity, saved + static_cast<double>(bytes)); }
 
 private:
-    double rate, most;
-    Micros at;
-    double saved;
+    double rate, capacity;  // bytes per second; bytes
+    Micros updated_at;
+    double saved;  // bytes
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/gossip_queue.hpp
+++ b/src/peers/gossip_queue.hpp
@@ -1,5 +1,6 @@
-// Which accounts are still news, and how often each has been told. One place a router, so bounded by their
-// count; what is told is always the newest account, looked up when it is written.
+// The accounts that still have to be gossiped, and how often each has been sent. Memory is one entry a
+// router. The queue holds router numbers only: the caller writes the newest account of a router when it
+// sends.
 #pragma once
 
 #include <algorithm>
@@ -13,60 +14,61 @@
 class GossipQueue {
 public:
     explicit GossipQueue(int routers)
-        : left(static_cast<std::size_t>(routers)),
-          times(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
+        : entries(static_cast<std::size_t>(routers)),
+          limit(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
 
-    // How often each is told: it reaches all with a margin when that grows with the logarithm of their count
-    // (SWIM, section 4.1).
-    int most() const { return times; }
-    void news(Number who, bool urgent) {
-        auto& one = left[static_cast<std::size_t>(who)];
-        if (one.left == 0) waiting.push_back(who);
-        one = {times, urgent};
+    // How often each update is sent. It grows with the logarithm of the group size, so that an update reaches
+    // all routers with a margin (SWIM, section 4.1).
+    int repeat_limit() const { return limit; }
+    void enqueue(Number who, bool urgent) {
+        auto& entry = entries[static_cast<std::size_t>(who)];
+        if (entry.repeats_left == 0) queued.push_back(who);
+        entry = {limit, urgent};
     }
-    // Somebody else has told the same: who is told twice loses interest, as in rumour mongering with counters
-    // (Demers and others, PODC 1987), so what all know by now takes no more room.
-    void heard_again(Number who) {
-        auto& one = left[static_cast<std::size_t>(who)];
-        if (one.left == 0) return;
-        one.left = std::max(0, one.left - 2);
-        if (one.left == 0) std::erase(waiting, who);
+    // Another router has sent the same update. Each duplicate takes two repeats off, as in rumour mongering
+    // with counters (Demers and others, PODC 1987), so that updates which all know take no more room.
+    void note_duplicate(Number who) {
+        auto& entry = entries[static_cast<std::size_t>(who)];
+        if (entry.repeats_left == 0) return;
+        entry.repeats_left = std::max(0, entry.repeats_left - 2);
+        if (entry.repeats_left == 0) std::erase(queued, who);
     }
-    // At most `most` numbers: urgent before others, then those told least often. They count as told.
-    std::vector<Number> next(std::size_t most) {
+    // At most `most` routers, and counts each as sent once: urgent ones first, then those sent least often.
+    std::vector<Number> take_next(std::size_t most) {
         auto before = [this](Number a, Number b) {
-            auto &x = left[static_cast<std::size_t>(a)], &y = left[static_cast<std::size_t>(b)];
-            return x.urgent != y.urgent ? x.urgent : x.left > y.left;
+            auto &x = entries[static_cast<std::size_t>(a)], &y = entries[static_cast<std::size_t>(b)];
+            return x.urgent != y.urgent ? x.urgent : x.repeats_left > y.repeats_left;
         };
-        auto count = std::min(most, waiting.size());
-        auto end = waiting.begin() + static_cast<std::ptrdiff_t>(count);
-        std::partial_sort(waiting.begin(), end, waiting.end(), before);
-        std::vector<Number> told(waiting.begin(), end);
-        for (auto who : told) left[static_cast<std::size_t>(who)].left--;
-        std::erase_if(waiting, [&](Number who) { return left[static_cast<std::size_t>(who)].left == 0; });
-        return told;
+        auto count = std::min(most, queued.size());
+        auto end = queued.begin() + static_cast<std::ptrdiff_t>(count);
+        std::partial_sort(queued.begin(), end, queued.end(), before);
+        std::vector<Number> taken(queued.begin(), end);
+        for (auto who : taken) entries[static_cast<std::size_t>(who)].repeats_left--;
+        std::erase_if(queued,
+                      [&](Number who) { return entries[static_cast<std::size_t>(who)].repeats_left == 0; });
+        return taken;
     }
-    // Somebody still tells what is out of date: the newer account is worth telling a few times more.
-    void put_right(Number who) {
-        auto& one = left[static_cast<std::size_t>(who)];
-        if (one.left == 0) waiting.push_back(who);
-        one = {std::max(one.left, 3), true};
+    // Another router still sends an outdated account, so the newer one is sent a few times more.
+    void enqueue_correction(Number who) {
+        auto& entry = entries[static_cast<std::size_t>(who)];
+        if (entry.repeats_left == 0) queued.push_back(who);
+        entry = {std::max(entry.repeats_left, 3), true};
     }
-    // There was no room for it after all.
-    void untold(Number who) {
-        auto& one = left[static_cast<std::size_t>(who)];
-        if (one.left++ == 0) waiting.push_back(who);
+    // Undoes one count of take_next() where the datagram had no room for the account.
+    void put_back(Number who) {
+        auto& entry = entries[static_cast<std::size_t>(who)];
+        if (entry.repeats_left++ == 0) queued.push_back(who);
     }
-    std::size_t size() const { return waiting.size(); }
+    std::size_t size() const { return queued.size(); }
 
 private:
-    struct One {
-        int left = 0;
+    struct Entry {
+        int repeats_left = 0;
         bool urgent = false;
     };
-    std::vector<One> left;
-    std::vector<Number> waiting;
-    int times;
+    std::vector<Entry> entries;  // by router
+    std::vector<Number> queued;  // routers with repeats left
+    int limit;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -102,20 +102,20 @@
     take(*decoded.message, now);
     pass_on(now);
     // An answer takes its probe off the list, so the next call may be due later than was said.
-    local_health.promise(next_tick());
+    local_health.expect_call_by(next_tick());
 }
 
 // Each call begins here. Guards against a router that was stopped, or that had no processor, and then holds
 // against others what it did not hear meanwhile: probes under way are void, nobody is judged before being
 // asked again, and what was said of this router while it was away is answered before it is heard.
 void Membership::arrive(Micros now) {
-    auto away = local_health.away(now);
+    auto away = local_health.detect_pause(now);
     if (away == 0) return;
     seen.pauses++;
     probes.clear();
     indirect_probes.clear();
-    suspicions.set_back(away);
-    local_health.worse();
+    suspicions.postpone_all(away);
+    local_health.degrade();
     // Its own slowness is no miss of others either.
     last_slot = probe_schedule.slot(now);
     // What was told meanwhile has been told often enough for others.
@@ -182,9 +182,9 @@
     if (joined == member.member_state) {
         if (by == account.who || spreading == Spread::No) return;
         if (account.member_state == joined)
-            gossip.heard_again(account.who);
+            gossip.note_duplicate(account.who);
         else
-            gossip.put_right(account.who);  // the teller is behind, and most likely others are
+            gossip.enqueue_correction(account.who);  // the teller is behind, and most likely others are
         return;
     }
     auto before = std::exchange(member.member_state, joined);
@@ -195,7 +195,7 @@
     if (before.life != joined.life) ended_cuts = reachability.forget(account.who);
     if (joined.verdict != Verdict::Suspected || before.life != joined.life ||
         before.incarnation != joined.incarnation)
-        suspicions.acquit(account.who);
+        suspicions.remove(account.who);
     // Who accuses follows in the same datagram; a teller alone is no accuser.
     if (joined.verdict == Verdict::Suspected && !suspicions.find(account.who))
         suspicions.accuse(account.who, -1, 0, now);
@@ -234,7 +234,7 @@
     if (told.incarnation <= me.incarnation && !accused) return;
     me.incarnation = told.incarnation;
     seen.refutations++;
-    local_health.worse();
+    local_health.degrade();
     say_anew(true);
 }
 
@@ -272,7 +272,7 @@
         expire_at = now + 1000 * ms;
     }
     piggyback_waits = false;  // it says so again, each time before this
-    local_health.promise(next_tick());
+    local_health.expect_call_by(next_tick());
 }
 
 Micros Membership::next_tick() const {
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -22,7 +22,7 @@
     if (routers() <= 1 || slot <= last_slot) return;
     // In doubt of itself a router asks more rarely.
     auto target = probe_schedule.target(slot);
-    if (slot % local_health.stretch() == 0 && !awaits_account(target)) probe(target, now);
+    if (slot % local_health.multiplier() == 0 && !awaits_account(target)) probe(target, now);
     last_slot = slot;
 }
 
@@ -47,7 +47,7 @@
     ping.probe = next_probe;
     next_probe = next_probe % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
-    auto wait = settings.probe_period * local_health.stretch();
+    auto wait = settings.probe_period * local_health.multiplier();
     probes.push_back({ping.probe, target, now, now + settings.probe_period / 6, now + wait, now + wait});
     // Where one direction is known to be cut, helpers are asked at once, and the ping only tells whether it
     // still is.
@@ -72,15 +72,15 @@
 // into the choice of helpers, since what cuts one off cuts off its neighbours.
 void Membership::step(Probe& probe, Micros now) {
     auto step_after = [&](Micros wait) { probe.step_at = now + wait < probe.asks_end ? now + wait : never; };
-    step_after(settings.probe_period / 6 * local_health.stretch());
+    step_after(settings.probe_period / 6 * local_health.multiplier());
     // Whom it has accused already, it only tells so.
     auto* suspicion = suspicions.find(probe.target);
-    bool said = suspicion && !suspicion->ask_first &&
+    bool said = suspicion && !suspicion->probe_before_verdict &&
                 std::count(suspicion->accusers.begin(), suspicion->accusers.end(), number);
     if (!thought_there(probe.target) || said) return;
     bool cut = reachability.cut(number, probe.target) || reachability.cut(probe.target, number);
     if (cut) {
-        step_after(settings.probe_period / 3 * local_health.stretch());
+        step_after(settings.probe_period / 3 * local_health.multiplier());
         probe.steps++;
     } else {
         Message ping;
@@ -132,7 +132,7 @@
 
 void Membership::end_probe(const Probe& probe, Micros now) {
     auto& target = at(probe.target);
-    suspicions.asked(probe.target);
+    suspicions.note_probed(probe.target);
     if (target.heard >= probe.sent && !probe.passed_on) return;  // whatever came of it, it is there
     if (probe.passed_on) {
         // Others hear it. Which direction is cut it tells itself, or it is this one.
@@ -146,7 +146,7 @@
     // minute without a sign of it.
     if (reachability.cut(number, probe.target) || reachability.cut(probe.target, number)) return;
     // A helper that says no shows that this router is heard; those that say nothing put itself in doubt.
-    if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.worse();
+    if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.degrade();
     seen.accusations++;
     accuse(probe.target, number, 0, now);
     // The accused hears it first, so that it can answer before many have to be told otherwise.
@@ -167,7 +167,8 @@
         probe(who, now);
     };
     for (auto& [who, one] : suspicions.all())
-        if (one.ask_first || std::count(one.accusers.begin(), one.accusers.end(), number)) again(who);
+        if (one.probe_before_verdict || std::count(one.accusers.begin(), one.accusers.end(), number))
+            again(who);
     for (Number step = 0; step < routers() && asked < most_again; step++) {
         auto who = (number + 1 + step) % routers();
         if (who != number && reachability.doubtful(who)) again(who);
@@ -211,9 +212,9 @@
         if (probe.number != heard.probe) continue;
         if (heard.from == probe.target) {
             round_trips.measured(now - probe.sent, now);
-            if (probe.steps == 0) local_health.better();
-            if (probe.steps > 1 && probe.noes < probe.helpers) local_health.worse();
-            suspicions.asked(probe.target);
+            if (probe.steps == 0) local_health.improve();
+            if (probe.steps > 1 && probe.noes < probe.helpers) local_health.degrade();
+            suspicions.note_probed(probe.target);
             probes.erase(probes.begin() + static_cast<std::ptrdiff_t>(i));
         } else {
             probe.passed_on = true;
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -64,7 +64,7 @@
 }
 
 void Membership::spread(Number who, bool urgent) {
-    gossip.news(who, urgent);
+    gossip.enqueue(who, urgent);
     fresh |= urgent;
 }
 
@@ -139,11 +139,12 @@
     if (spare <= link_report_bytes) return;
     if (message.kind != Kind::Digest && message.link_reports.empty())
         message.link_reports = reachability.to_tell(
-            std::min(most_link_reports, static_cast<std::size_t>(spare / link_report_bytes)), gossip.most());
+            std::min(most_link_reports, static_cast<std::size_t>(spare / link_report_bytes)),
+            gossip.repeat_limit());
     auto after_reports = spare - static_cast<double>(message.link_reports.size() * link_report_bytes);
     auto places = static_cast<std::size_t>(std::max(0.0, after_reports) / account_bytes);
-    for (auto who : gossip.next(places))
-        if (!add_account(who, message, room, now)) gossip.untold(who);
+    for (auto who : gossip.take_next(places))
+        if (!add_account(who, message, room, now)) gossip.put_back(who);
 }
 
 // With who accuses it, where it is suspected. False where `room` has no bytes for it.
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -36,14 +36,14 @@
 void Membership::judge(Micros now) {
     std::vector<Number> due, last_calls;
     for (auto& [who, one] : suspicions.all()) {
-        if (!one.ask_first && now >= suspicions.verdict_at(one, at(who).heard)) due.push_back(who);
+        if (!one.probe_before_verdict && now >= suspicions.verdict_at(one, at(who).heard)) due.push_back(who);
         if (suspicions.wants_last_call(one, at(who).heard, now)) last_calls.push_back(who);
     }
     // One that can't be made yet for want of bytes is tried again at the next pass.
     for (auto who : last_calls)
-        if (make_last_call(who, now)) suspicions.called(who, now);
+        if (make_last_call(who, now)) suspicions.note_last_call(who, now);
     for (auto who : due) {
-        suspicions.acquit(who);
+        suspicions.remove(who);
         if (at(who).member_state.verdict != Verdict::Suspected) continue;
         at(who).member_state.verdict = Verdict::Dead;
         spread(who, true);
--- a/src/peers/probe_schedule.cpp
+++ b/src/peers/probe_schedule.cpp
@@ -13,11 +13,12 @@
         round = slot / others;
         distances.resize(static_cast<std::size_t>(others));
         std::iota(distances.begin(), distances.end(), static_cast<std::uint16_t>(1));
-        // Seeded by the round alone, and drawn by a generator whose results its documentation fixes.
-        boost::random::mt19937 chance(static_cast<std::uint32_t>(round));
-        for (std::size_t left = distances.size(); left > 1; left--) {
-            boost::random::uniform_int_distribution<std::size_t> draw(0, left - 1);
-            std::swap(distances[left - 1], distances[draw(chance)]);
+        // All routers have to draw the same order, so the seed is the round alone, and the generator is one
+        // whose results its documentation fixes.
+        boost::random::mt19937 generator(static_cast<std::uint32_t>(round));
+        for (std::size_t undrawn = distances.size(); undrawn > 1; undrawn--) {
+            boost::random::uniform_int_distribution<std::size_t> draw(0, undrawn - 1);
+            std::swap(distances[undrawn - 1], distances[draw(generator)]);
         }
     }
     return (self + distances[static_cast<std::size_t>(slot % others)]) % routers;
--- a/src/peers/probe_schedule.hpp
+++ b/src/peers/probe_schedule.hpp
@@ -1,8 +1,8 @@
-// Whom a router probes when: an probe_schedule that is shuffled, complete, and the same for all without talk.
-// Time is cut into slots of one period by the Unix clock; in each slot all routers probe the one that stands
-// the same distance ahead of them in the ring of numbers. So everybody is probed exactly once a slot, by
-// another router each time, and after one round of N-1 slots everybody has probed everybody. Routers whose
-// clocks are apart still probe completely, only less evenly: then it is as in SWIM, section 4.3.
+// Whom a router probes when: a shuffled round-robin order that all routers compute alike without exchanging
+// anything. The Unix clock is cut into slots of one probe period. In each slot every router probes the one
+// that is the same distance ahead of it in the ring of numbers, so each router is probed exactly once a slot,
+// by another prober each time. After a round of N-1 slots every router has probed every other. Routers whose
+// clocks differ still probe all others in a round, only less evenly spread, as in SWIM, section 4.3.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,15 @@
     ProbeSchedule(Number self, int routers, Micros period) : self(self), routers(routers), period(period) {}
     std::int64_t slot(Micros now) const { return now / period; }
     Micros start(std::int64_t slot) const { return slot * period; }
-    Number target(std::int64_t slot);  // never `self`; needs two routers at least
+    // The router to probe in `slot`, never `self`. Requires at least two routers.
+    Number target(std::int64_t slot);
 
 private:
     Number self;
     int routers;
     Micros period;
     std::int64_t round = -1;
-    std::vector<std::uint16_t> distances;  // of the slots of `round`
+    std::vector<std::uint16_t> distances;  // by slot of `round`
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/request_health.hpp
+++ b/src/peers/request_health.hpp
@@ -1,6 +1,6 @@
-// Whether a router that answers its peers also gets its lookups handled: it is called ill while more than
-// half of those that ended in the last five seconds, and ten at least, were rejected or broken off; and well
-// again only when less than a fifth were, so that it does not swing.
+// Whether a router that answers its peers also serves its lookups. It is unhealthy once more than half of the
+// lookups that ended in the last five seconds, and at least ten did, were rejected or failed. It is healthy
+// again only when less than a fifth were, or when none ended: the margin keeps the state from oscillating.
 #pragma once
 
 #include <array>
@@ -12,30 +12,31 @@
 
 class RequestHealth {
 public:
-    // Sums since the start. Answers whether it is ill.
-    bool update(std::uint64_t ended, std::uint64_t bad, Micros now) {
-        if (now - at >= second) {
-            at = now;
-            seconds[next++ % seconds.size()] = {ended, bad};
+    // Takes the totals since the start: lookups that ended, and those of them that were rejected or failed.
+    // Returns whether the router is unhealthy.
+    bool update(std::uint64_t ended, std::uint64_t failed, Micros now) {
+        if (now - sampled_at >= sample_interval) {
+            sampled_at = now;
+            samples[next++ % samples.size()] = {ended, failed};
         }
-        auto& oldest = seconds[next % seconds.size()];
-        auto lately = ended - oldest.ended, bad_lately = bad - oldest.bad;
-        if (lately >= least && bad_lately * 2 > lately) ill = true;
-        if (lately >= least && bad_lately * 5 < lately) ill = false;
-        if (lately == 0) ill = false;  // nothing is known against it
-        return ill;
+        auto& oldest = samples[next % samples.size()];
+        auto recent = ended - oldest.ended, recent_failed = failed - oldest.failed;
+        if (recent >= min_lookups && recent_failed * 2 > recent) unhealthy = true;
+        if (recent >= min_lookups && recent_failed * 5 < recent) unhealthy = false;
+        if (recent == 0) unhealthy = false;  // an idle router has shown no failures
+        return unhealthy;
     }
 
 private:
-    static constexpr Micros second = 1'000'000;
-    static constexpr std::uint64_t least = 10;
-    struct Sum {
-        std::uint64_t ended = 0, bad = 0;
+    static constexpr Micros sample_interval = 1'000'000;
+    static constexpr std::uint64_t min_lookups = 10;
+    struct Totals {
+        std::uint64_t ended = 0, failed = 0;
     };
-    std::array<Sum, 5> seconds{};
+    std::array<Totals, 5> samples{};
     std::size_t next = 0;
-    Micros at = 0;
-    bool ill = false;
+    Micros sampled_at = 0;
+    bool unhealthy = false;
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/suspicion.cpp
+++ b/src/peers/suspicion.cpp
@@ -10,49 +10,49 @@
 }
 
 bool Suspicions::accuse(Number who, Number accuser, Micros age, Micros now) {
-    // Guards against an age that somebody invents, or that a clock makes: half of the shortest time is always
-    // left to answer.
+    // The reported age may be forged, or wrong because of a clock. Half of the shortest time is always left
+    // to refute.
     auto since = now - std::clamp<Micros>(age, 0, times.shortest / 2);
-    auto [place, fresh] = open.try_emplace(who);
+    auto [place, is_new] = open.try_emplace(who);
     auto& one = place->second;
-    if (fresh) one.since = since;
+    if (is_new) one.since = since;
     one.since = std::min(one.since, std::max(since, one.since - times.shortest / 2));
-    if (accuser < 0) return fresh;
+    if (accuser < 0) return is_new;
     if (std::count(one.accusers.begin(), one.accusers.end(), accuser)) return false;
-    if (one.accusers.size() >= most_accusers) return false;
+    if (one.accusers.size() >= max_accusers) return false;
     one.accusers.push_back(accuser);
     return true;
 }
 
-Micros Suspicions::due(const Suspicion& suspicion, Micros heard) const {
+Micros Suspicions::deadline(const Suspicion& suspicion, Micros last_heard) const {
     auto wait = suspicion.accusers.size() > 1 ? times.shortest : times.longest;
-    return std::max(suspicion.since, heard) + wait;
+    return std::max(suspicion.since, last_heard) + wait;
 }
 
-Micros Suspicions::verdict_at(const Suspicion& suspicion, Micros heard) const {
-    auto when = due(suspicion, heard);
-    if (suspicion.called_at == 0) return when + times.to_answer;
-    bool in_time = suspicion.called_at <= when - times.to_answer / 2;
-    return in_time ? when : suspicion.called_at + times.to_answer;
+Micros Suspicions::verdict_at(const Suspicion& suspicion, Micros last_heard) const {
+    auto refute_until = deadline(suspicion, last_heard);
+    if (suspicion.last_call_at == 0) return refute_until + times.last_call_lead;
+    bool in_time = suspicion.last_call_at <= refute_until - times.last_call_lead / 2;
+    return in_time ? refute_until : suspicion.last_call_at + times.last_call_lead;
 }
 
-bool Suspicions::wants_last_call(const Suspicion& suspicion, Micros heard, Micros now) const {
-    auto shortest_due = std::max(suspicion.since, heard) + times.shortest;
-    if (suspicion.called_at == 0) return now >= shortest_due - times.to_answer;
-    auto from = due(suspicion, heard) - times.to_answer;
-    return now >= from && suspicion.called_at < from - times.to_answer;
+bool Suspicions::wants_last_call(const Suspicion& suspicion, Micros last_heard, Micros now) const {
+    auto shortest_deadline = std::max(suspicion.since, last_heard) + times.shortest;
+    if (suspicion.last_call_at == 0) return now >= shortest_deadline - times.last_call_lead;
+    auto call_from = deadline(suspicion, last_heard) - times.last_call_lead;
+    return now >= call_from && suspicion.last_call_at < call_from - times.last_call_lead;
 }
 
-void Suspicions::set_back(Micros away) {
+void Suspicions::postpone_all(Micros pause) {
     for (auto& [who, one] : open) {
-        one.since += away;
-        one.ask_first = true;
+        one.since += pause;
+        one.probe_before_verdict = true;
     }
 }
 
-void Suspicions::asked(Number who) {
+void Suspicions::note_probed(Number who) {
     auto found = open.find(who);
-    if (found != open.end()) found->second.ask_first = false;
+    if (found != open.end()) found->second.probe_before_verdict = false;
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/suspicion.hpp
+++ b/src/peers/suspicion.hpp
@@ -1,8 +1,8 @@
-// Accusations that have not become a verdict yet, after Lifeguard (section 3: suspicion time that falls as
-// independent accusers come). One accuser alone leaves the longest time to answer, two different ones the
-// shortest: by simulation a third adds nothing but the time until it is heard of (docs/membership.md). How
-// old an accusation is goes along with it, so that all routers judge at about the same time, whenever they
-// heard of it.
+// Open suspicions: accusations that have not led to a verdict yet. As in Lifeguard (section 3), independent
+// accusers shorten the time that the accused has to refute. One accuser alone leaves the longest time, two
+// leave the shortest; in simulation a third only added the time until it is heard of (docs/membership.md).
+// The age of an accusation travels with it, so that all routers reach the verdict at about the same time,
+// whenever they heard of it.
 #pragma once
 
 #include <map>
@@ -13,41 +13,42 @@
 namespace quillgrade::peers {
 
 struct Suspicion {
-    Micros since = 0;              // of the first accusation, as far as known
-    std::vector<Number> accusers;  // different ones, two at most
-    bool ask_first = false;        // I was away: probe it myself before judging
-    Micros called_at = 0;          // when it was asked about once more, before the verdict; 0: not yet
+    Micros since = 0;                   // of the first accusation, as far as known
+    std::vector<Number> accusers;       // distinct, at most two
+    bool probe_before_verdict = false;  // this router was paused, and has to probe the accused itself first
+    Micros last_call_at = 0;            // of the last pings before the verdict; 0: not sent yet
 };
 
 class Suspicions {
 public:
     struct Times {
-        Micros shortest, longest;
-        Micros to_answer;  // a last call is made so long before the verdict
+        Micros shortest, longest;  // from the accusation to the verdict
+        Micros last_call_lead;     // how long before the verdict the last call is made
     };
     explicit Suspicions(Times times) : times(times) {}
 
-    // `age`: how long ago the first accusation was, as told. `accuser` -1: not told. True where it is news.
+    // `age`: time since the first accusation, as reported. `accuser`: -1 where it was not reported. True
+    // where the accusation is new and worth gossiping.
     bool accuse(Number who, Number accuser, Micros age, Micros now);
-    void acquit(Number who) { open.erase(who); }
+    void remove(Number who) { open.erase(who); }
     const Suspicion* find(Number who) const;
-    // When it becomes a verdict, where a last call has been made in time. A router that was heard at `heard`
-    // itself has the time from then.
-    Micros due(const Suspicion& suspicion, Micros heard) const;
-    // The same, put off where the last call came late or has not been made yet: until its answers could come,
-    // and no longer than that where none can be made.
-    Micros verdict_at(const Suspicion& suspicion, Micros heard) const;
-    // A first one is due before the shortest time has passed, so that a second accuser who is heard of later
-    // finds it made; where none is, one more before the longest.
-    bool wants_last_call(const Suspicion& suspicion, Micros heard, Micros now) const;
-    // The router was away for so long: nobody is judged by what fell into that time.
-    void set_back(Micros away);
-    void called(Number who, Micros now) { open.at(who).called_at = now; }
-    void asked(Number who);  // it has been, and has not answered
+    // When the time to refute ends, if a last call is made in time. Where the accused itself was heard from
+    // at `last_heard`, after the accusation, the time runs from then.
+    Micros deadline(const Suspicion& suspicion, Micros last_heard) const;
+    // The same, put off where the last call was late or has not been made yet: until its answers can have
+    // come, and no longer than that where none can be made.
+    Micros verdict_at(const Suspicion& suspicion, Micros last_heard) const;
+    // A first last call is due before the shortest time ends, so that it has been made when a second accuser
+    // is heard of later. Without a second accuser, one more is due before the longest time ends.
+    bool wants_last_call(const Suspicion& suspicion, Micros last_heard, Micros now) const;
+    // This router was paused for that long: no verdict may rest on what fell into that time.
+    void postpone_all(Micros pause);
+    void note_last_call(Number who, Micros now) { open.at(who).last_call_at = now; }
+    void note_probed(Number who);  // a probe of it has ended, with or without an answer
     const std::map<Number, Suspicion>& all() const { return open; }
 
 private:
-    static constexpr std::size_t most_accusers = 2;
+    static constexpr std::size_t max_accusers = 2;
     Times times;
     std::map<Number, Suspicion> open;
 };
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -162,16 +162,16 @@
     Suspicions suspicions({2 * second, 8 * second, second});
     suspicions.accuse(5, 1, 0, noon_at);
     suspicions.accuse(5, 1, 0, noon_at + second);
-    CHECK(suspicions.due(*suspicions.find(5), 0) == noon_at + 8 * second);
+    CHECK(suspicions.deadline(*suspicions.find(5), 0) == noon_at + 8 * second);
     suspicions.accuse(5, 2, 0, noon_at + second);
-    CHECK(suspicions.due(*suspicions.find(5), 0) == noon_at + 2 * second);
+    CHECK(suspicions.deadline(*suspicions.find(5), 0) == noon_at + 2 * second);
     SUBCASE("one that was heard meanwhile has the time from then") {
-        CHECK(suspicions.due(*suspicions.find(5), noon_at + second) == noon_at + 3 * second);
+        CHECK(suspicions.deadline(*suspicions.find(5), noon_at + second) == noon_at + 3 * second);
     }
     SUBCASE("an age that is told takes off half of the time at most") {
         suspicions.accuse(6, 1, 500 * second, noon_at);
         suspicions.accuse(6, 2, 500 * second, noon_at);
-        CHECK(suspicions.due(*suspicions.find(6), 0) == noon_at + second);
+        CHECK(suspicions.deadline(*suspicions.find(6), 0) == noon_at + second);
     }
 }
 
@@ -199,14 +199,14 @@
 
 TEST_CASE("news is told a bounded number of times, urgent first, less where others tell it") {
     GossipQueue gossip(10);
-    gossip.news(1, false);
-    gossip.news(2, true);
-    CHECK(gossip.next(1) == std::vector<Number>{2});
+    gossip.enqueue(1, false);
+    gossip.enqueue(2, true);
+    CHECK(gossip.take_next(1) == std::vector<Number>{2});
     int told = 1;
-    while (gossip.size() > 0) told += static_cast<int>(gossip.next(5).size());
-    CHECK(told == 2 * gossip.most());
-    gossip.news(3, true);
-    for (int i = 0; i < gossip.most(); i++) gossip.heard_again(3);
+    while (gossip.size() > 0) told += static_cast<int>(gossip.take_next(5).size());
+    CHECK(told == 2 * gossip.repeat_limit());
+    gossip.enqueue(3, true);
+    for (int i = 0; i < gossip.repeat_limit(); i++) gossip.note_duplicate(3);
     CHECK(gossip.size() == 0);
 }
 
