--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -1,5 +1,5 @@
-// The part of a Membership that takes what comes and keeps the members' states. Probing, judging, sending,
-// and finding differences in bulk are in membership_probes.cpp, membership_suspicion.cpp,
+// The part of a Membership that processes received datagrams and keeps the members' states. Probes,
+// suspicions and verdicts, sending, and anti-entropy are in membership_probes.cpp, membership_suspicion.cpp,
 // membership_sending.cpp and membership_anti_entropy.cpp.
 #include "peers/membership.hpp"
 
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Micros ms = 1000;
-constexpr std::uint32_t most_incarnation = (1U << 27) - 1;
+constexpr std::uint32_t max_incarnation = (1U << 27) - 1;
 
-// With state transfer on, what all send in one burst has to leave room for pages in what one of them takes
-// in.
+// With state transfer the burst is halved: when all routers send a burst at once, the bytes that one of them
+// receives have to leave room for pages.
 ByteBudget budget_of(const MembershipSettings& settings, Micros now) {
     constexpr double burst_seconds = 1;
     if (!settings.state_transfer) return {settings.bytes_per_s, now};
@@ -45,10 +45,10 @@
 }
 
 Membership::Membership(const MembershipConfig& start)
-    : number(start.self),
+    : self_number(start.self),
       zone(start.zone),
       settings(start.settings),
-      me{start.life, Phase::Here, 0, Verdict::Alive, false},
+      self_state{start.life, Phase::Here, 0, Verdict::Alive, false},
       members(static_cast<std::size_t>(start.routers)),
       probe_schedule(start.self, start.routers, start.settings.probe_period),
       suspicions({start.settings.shortest_suspicion, start.settings.longest_suspicion,
@@ -58,158 +58,162 @@
       local_health(start.settings.longest_pause, start.now),
       round_trips(start.settings.probe_period, start.now),
       byte_budget(budget_of(start.settings, start.now)),
-      chance(static_cast<std::uint32_t>(start.seed ^ (start.seed >> 32) ^ start.life)),
+      generator(static_cast<std::uint32_t>(start.seed ^ (start.seed >> 32) ^ start.life)),
       last_slot(probe_schedule.slot(start.now)),
-      digest_at(start.now),
-      unlike(8) {
+      next_digest_at(start.now),
+      early_digests(8) {
     if (settings.state_transfer) {
-        transfer.emplace(number, start.routers, static_cast<std::uint32_t>(start.seed ^ start.life),
+        transfer.emplace(self_number, start.routers, static_cast<std::uint32_t>(start.seed ^ start.life),
                          start.now);
         page_server.emplace(settings.bytes_per_s, start.now);
-        unlike = 0;
+        early_digests = 0;
     }
-    auto& mine = at(number);
-    mine.member_state = me;
-    mine.state = State::Alive;
-    mine.since = start.now;
-    mine.zone = static_cast<std::int16_t>(zone);
+    auto& own = at(self_number);
+    own.member_state = self_state;
+    own.state = State::Alive;
+    own.since = start.now;
+    own.zone = static_cast<std::int16_t>(zone);
 }
 
-// ---- what comes
+// ---- received datagrams
 
 void Membership::receive(Number from, std::string_view datagram, Micros now) {
-    arrive(now);
+    handle_pause(now);
     if (transfer) transfer->count(datagram.size(), now);
     if (from < 0) {
-        seen.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+        totals.dropped[static_cast<std::size_t>(Dropped::Source)]++;
         return;
     }
     auto decoded = decode(datagram, routers(), now);
     if (!decoded.message) {
-        seen.dropped[static_cast<std::size_t>(decoded.why)]++;
+        totals.dropped[static_cast<std::size_t>(decoded.why)]++;
         return;
     }
-    // Nobody may speak under another's number, nor under mine.
-    if (decoded.message->from != from || decoded.message->from == number) {
-        seen.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+    // Guards against a sender that uses the number of another router, or the number of this one.
+    if (decoded.message->from != from || decoded.message->from == self_number) {
+        totals.dropped[static_cast<std::size_t>(Dropped::Source)]++;
         return;
     }
     if (!settings.state_transfer && of_state_transfer(decoded.message->kind)) {
-        seen.dropped[static_cast<std::size_t>(Dropped::TransferOff)]++;
+        totals.dropped[static_cast<std::size_t>(Dropped::TransferOff)]++;
         return;
     }
-    seen.received++;
-    take(*decoded.message, now);
-    pass_on(now);
-    // An answer takes its probe off the list, so the next call may be due later than was said.
+    totals.received++;
+    process(*decoded.message, now);
+    send_urgent_gossip(now);
+    // An answer removes its probe, so the next tick may be due later than was expected before.
     local_health.expect_call_by(next_tick());
 }
 
-// Each call begins here. Guards against a router that was stopped, or that had no processor, and then holds
-// against others what it did not hear meanwhile: probes under way are void, nobody is judged before being
-// asked again, and what was said of this router while it was away is answered before it is heard.
-void Membership::arrive(Micros now) {
-    auto away = local_health.detect_pause(now);
-    if (away == 0) return;
-    seen.pauses++;
+// Called first at each entry point. Guards against a router that was paused, or got no processor time, and
+// then accuses others because of datagrams that it missed meanwhile. It drops its open probes, probes each
+// suspected router again before a verdict, and refutes in advance what may have been said of it during the
+// pause.
+void Membership::handle_pause(Micros now) {
+    auto pause = local_health.detect_pause(now);
+    if (pause == 0) return;
+    totals.pauses++;
     probes.clear();
     indirect_probes.clear();
-    suspicions.postpone_all(away);
+    suspicions.postpone_all(pause);
     local_health.degrade();
-    // Its own slowness is no miss of others either.
+    // Slots that passed during the pause are not made up for.
     last_slot = probe_schedule.slot(now);
-    // What was told meanwhile has been told often enough for others.
-    if (transfer && away >= settings.longest_suspicion) transfer->begin_after_pause(now);
-    say_anew(true);
-    tell_some(3, now);
+    // Gossip of that time may have been repeated often enough for the others and not come here.
+    if (transfer && pause >= settings.longest_suspicion) transfer->begin_after_pause(now);
+    raise_incarnation(true);
+    send_gossip(3, now);
 }
 
-void Membership::take(const Message& message, Micros now) {
+void Membership::process(const Message& message, Micros now) {
     auto& sender = at(message.from);
     if (message.self.life < sender.member_state.life) {
-        // An old life's datagram, still under way; or a new life whose clock was set back, which has to hear
-        // it.
-        Message heard;
-        heard.kind = Kind::Heard;
-        heard.probe = message.probe;
+        // Either a late datagram of an earlier life, or a new life whose clock was set back. The latter has
+        // to learn of the life that is known here, so that it can choose a higher one.
+        Message answer;
+        answer.kind = Kind::Heard;
+        answer.probe = message.probe;
         if (message.kind == Kind::Ping)
-            send(message.from, heard, SendPriority::Answer, now, {{message.from, sender.member_state}});
+            send(message.from, answer, SendPriority::Answer, now, {{message.from, sender.member_state}});
         return;
     }
-    heard_any = now;
-    sender.heard = now;
+    last_heard_any = now;
+    sender.last_heard = now;
     if (message.zone >= 0) sender.zone = static_cast<std::int16_t>(message.zone);
-    take(Account{message.from, message.self}, message.from, now);
-    if (reachability.heard(message.from, now)) note_cut(message.from, number, false, message.from, now);
+    merge_account(Account{message.from, message.self}, message.from, now);
+    if (reachability.heard(message.from, now))
+        report_link(message.from, self_number, false, message.from, now);
 
     if (piggyback && !message.payload.empty())
         piggyback->unload(message.from, message.self.life, message.payload, now);
-    for (auto& account : message.accounts) take(account, message.from, now);
-    take_accusations(message, now);
-    // Those of a digest are what its sender holds, no news: taken as news, a cut would never expire.
+    for (auto& account : message.accounts) merge_account(account, message.from, now);
+    apply_accusations(message, now);
+    // The link reports of a digest are what its sender holds, not updates. Taken as updates, they would keep
+    // a cut from ever expiring.
     if (message.kind != Kind::Digest) apply_link_reports(message, now);
 
-    take_by_kind(message, now);
+    dispatch(message, now);
 }
 
-void Membership::take_by_kind(const Message& message, Micros now) {
+void Membership::dispatch(const Message& message, Micros now) {
     switch (message.kind) {
         case Kind::Ping:
             return answer_ping(message, now);
         case Kind::Heard:
-            return answered(message, now);
+            return handle_answer(message, now);
         case Kind::Ask:
-            return probe_for_another(message, now);
+            return start_indirect_probe(message, now);
         case Kind::No:
             for (auto& probe : probes)
-                if (probe.number == message.probe && probe.target == message.about) probe.noes++;
+                if (probe.id == message.probe && probe.target == message.about) probe.nacks++;
             return;
         case Kind::Digest:
-            return compare(message, now);
+            return compare_digest(message, now);
         case Kind::News:
             return;
         case Kind::RangeRequest:
             return answer_range_request(message, now);
         case Kind::RangePage:
-            return take_page(message, now);
+            return handle_page(message, now);
     }
 }
 
-void Membership::take(const Account& account, Number by, Micros now, Spread spreading) {
-    if (account.who == number) return about_me(account.member_state);
+void Membership::merge_account(const Account& account, Number by, Micros now, Disseminate disseminate) {
+    if (account.who == self_number) return refute(account.member_state);
     auto& member = at(account.who);
     auto joined = join(member.member_state, account.member_state);
     if (joined == member.member_state) {
-        if (by == account.who || spreading == Spread::No) return;
+        if (by == account.who || disseminate == Disseminate::No) return;
         if (account.member_state == joined)
             gossip.note_duplicate(account.who);
         else
-            gossip.enqueue_correction(account.who);  // the teller is behind, and most likely others are
+            gossip.enqueue_correction(account.who);  // the sender is behind, and others probably are too
         return;
     }
     auto before = std::exchange(member.member_state, joined);
-    member.changed = now;
-    if (before.ill != joined.ill && health_news.size() < most_changes)
-        health_news.push_back({account.who, joined.ill});
+    member.changed_at = now;
+    if (before.ill != joined.ill && health_changes.size() < max_kept_changes)
+        health_changes.push_back({account.who, joined.ill});
     std::vector<LinkReport> ended_cuts;
     if (before.life != joined.life) ended_cuts = reachability.forget(account.who);
     if (joined.verdict != Verdict::Suspected || before.life != joined.life ||
         before.incarnation != joined.incarnation)
         suspicions.remove(account.who);
-    // Who accuses follows in the same datagram; a teller alone is no accuser.
+    // The accusers follow in the same datagram. The sender of an account does not count as an accuser.
     if (joined.verdict == Verdict::Suspected && !suspicions.find(account.who))
         suspicions.accuse(account.who, -1, 0, now);
-    if (spreading == Spread::Yes) spread(account.who, before.life != 0);
-    note(account.who, by, now);
-    note_ended_cuts(ended_cuts, by, now);
+    if (disseminate == Disseminate::Yes) enqueue_gossip(account.who, before.life != 0);
+    update_state(account.who, by, now);
+    report_ended_cuts(ended_cuts, by, now);
 }
 
-// An accusation goes with an account in the same datagram, and counts where that is what is known here too.
-void Membership::take_accusations(const Message& message, Micros now) {
+// An accusation refers to an account in the same datagram, and counts only if that account is the one known
+// here.
+void Membership::apply_accusations(const Message& message, Micros now) {
     for (auto& one : message.accusations) {
         auto about = std::find_if(message.accounts.begin(), message.accounts.end(),
                                   [&](auto& account) { return account.who == one.accused; });
-        if (one.accused == number || about == message.accounts.end()) continue;
+        if (one.accused == self_number || about == message.accounts.end()) continue;
         auto& known = at(one.accused).member_state;
         if (known == about->member_state && known.verdict == Verdict::Suspected)
             accuse(one.accused, one.accuser, one.age, now);
@@ -219,94 +223,96 @@
 void Membership::apply_link_reports(const Message& message, Micros now) {
     for (auto& report : message.link_reports)
         if (reachability.told(report, at(report.listener).member_state.life, now))
-            note_cut(report.speaker, report.listener, report.cut, message.from, now);
+            report_link(report.speaker, report.listener, report.cut, message.from, now);
 }
 
-// What others say of this router. A new word of its own answers an accusation; a new life whatever this life
-// can't have said: another life, an end, an incarnation beyond all.
-void Membership::about_me(const MemberState& told) {
-    if (told.life < me.life) return;
-    if (told.life > me.life || (told.phase > me.phase) || told.incarnation >= most_incarnation) {
-        me.life = std::max(me.life, told.life);
-        return new_life();
+// Handles what others report of this router. It refutes an accusation with a higher incarnation. What this
+// life can't have announced (a later life, a later phase, the highest incarnation) makes it begin a new life.
+void Membership::refute(const MemberState& reported) {
+    if (reported.life < self_state.life) return;
+    if (reported.life > self_state.life || (reported.phase > self_state.phase) ||
+        reported.incarnation >= max_incarnation) {
+        self_state.life = std::max(self_state.life, reported.life);
+        return begin_new_life();
     }
-    bool accused = told.incarnation == me.incarnation && told.verdict != Verdict::Alive;
-    if (told.incarnation <= me.incarnation && !accused) return;
-    me.incarnation = told.incarnation;
-    seen.refutations++;
+    bool accused = reported.incarnation == self_state.incarnation && reported.verdict != Verdict::Alive;
+    if (reported.incarnation <= self_state.incarnation && !accused) return;
+    self_state.incarnation = reported.incarnation;
+    totals.refutations++;
     local_health.degrade();
-    say_anew(true);
+    raise_incarnation(true);
 }
 
-void Membership::new_life() {
-    me.life++;
-    me.incarnation = 0;
-    at(number).member_state = me;
-    spread(number, true);
+void Membership::begin_new_life() {
+    self_state.life++;
+    self_state.incarnation = 0;
+    at(self_number).member_state = self_state;
+    enqueue_gossip(self_number, true);
 }
 
-void Membership::say_anew(bool urgent) {
-    if (me.incarnation + 1 >= most_incarnation) return new_life();
-    me.incarnation++;
-    at(number).member_state = me;
-    spread(number, urgent);
+void Membership::raise_incarnation(bool urgent) {
+    if (self_state.incarnation + 1 >= max_incarnation) return begin_new_life();
+    self_state.incarnation++;
+    at(self_number).member_state = self_state;
+    enqueue_gossip(self_number, urgent);
 }
 
-// ---- what is due
+// ---- periodic work
 
 void Membership::tick(Micros now) {
-    arrive(now);
-    probe_in_slot(now);
-    step_probes(now);
-    say_no_to_askers(now);
-    if (now >= look_again_at) {
-        look_again(now);
-        look_again_at = now + settings.probe_period * 3;
+    handle_pause(now);
+    probe_scheduled_target(now);
+    advance_probes(now);
+    send_due_nacks(now);
+    if (now >= next_reprobe_at) {
+        reprobe_doubtful(now);
+        next_reprobe_at = now + settings.probe_period * 3;
     }
-    judge(now);
-    pass_on(now);
-    if (now >= digest_at && routers() > 1) send_digest(now);
-    if (transfer) ask_for_ranges(now);
-    if (now >= expire_at) {
-        note_ended_cuts(reachability.expire(now), -1, now);
-        expire_at = now + 1000 * ms;
+    check_suspicions(now);
+    send_urgent_gossip(now);
+    if (now >= next_digest_at && routers() > 1) send_digest(now);
+    if (transfer) request_ranges(now);
+    if (now >= next_expiry_at) {
+        report_ended_cuts(reachability.expire(now), -1, now);
+        next_expiry_at = now + 1000 * ms;
     }
-    piggyback_waits = false;  // it says so again, each time before this
+    reserves_for_piggyback = false;  // the piggyback has to ask for it again before each tick
     local_health.expect_call_by(next_tick());
 }
 
 Micros Membership::next_tick() const {
     auto at = probe_schedule.start(last_slot + 1);
-    for (auto& one : probes) at = std::min(at, one.passed_on ? one.end : std::min(one.step_at, one.end));
+    for (auto& one : probes)
+        at = std::min(at, one.answered_via_helper ? one.ends_at : std::min(one.next_step_at, one.ends_at));
     for (auto& one : indirect_probes)
-        if (!one.said_no) at = std::min(at, one.say_no_at);
+        if (!one.settled) at = std::min(at, one.nack_at);
     if (transfer) at = std::min(at, transfer->due());
     return at;
 }
 
-// ---- what the router says of itself
+// ---- announcements about this router
 
 void Membership::leave(Micros now) {
-    if (me.phase != Phase::Here) return;
-    me.phase = Phase::Leaving;
-    say_anew(true);
-    tell_some(4, now);
+    if (self_state.phase != Phase::Here) return;
+    self_state.phase = Phase::Leaving;
+    raise_incarnation(true);
+    send_gossip(4, now);
 }
 
 void Membership::announce_exit(Micros now) {
-    me.phase = Phase::Gone;
-    say_anew(true);
-    // Its last chance to be heard, so more are told.
-    tell_some(6, now);
+    self_state.phase = Phase::Gone;
+    raise_incarnation(true);
+    // More receivers than in leave(), since this announcement is not repeated.
+    send_gossip(6, now);
 }
 
 void Membership::set_unhealthy(bool yes) {
-    if (me.ill == yes) return;
-    me.ill = yes;
-    say_anew(true);
+    if (self_state.ill == yes) return;
+    self_state.ill = yes;
+    raise_incarnation(true);
 }
 
-// ---- what others ask
+// ---- queries
 
 State Membership::state(Number who) const { return at(who).state; }
 
@@ -318,26 +324,27 @@
     view.unhealthy = member.member_state.ill;
     view.zone = member.zone;
     view.member_state = member.member_state;
-    view.last_heard = member.heard;
-    view.hears_me = !reachability.cut(number, who);
-    view.is_heard = !reachability.cut(who, number);
-    // As long as somebody is heard, no news of a router is news; alone, all that is known grows old.
-    auto alone = static_cast<double>(now - std::max(heard_any, member.heard)) /
-                 static_cast<double>(settings.longest_suspicion);
-    auto fresh = who == number ? 1 : std::exp2(-std::max(0.0, alone));
+    view.last_heard = member.last_heard;
+    view.hears_me = !reachability.cut(self_number, who);
+    view.is_heard = !reachability.cut(who, self_number);
+    // While any router is heard, the lack of updates about one means that nothing has changed. While none is
+    // heard, all that is known becomes outdated.
+    auto isolation = static_cast<double>(now - std::max(last_heard_any, member.last_heard)) /
+                     static_cast<double>(settings.longest_suspicion);
+    auto freshness = who == self_number ? 1 : std::exp2(-std::max(0.0, isolation));
     auto* suspicion = suspicions.find(who);
     switch (member.state) {
         case State::Unknown:
             break;
         case State::Alive:
         case State::Silent:
-            view.confidence = who == number ? 1 : 0.99 * fresh;
+            view.confidence = who == self_number ? 1 : 0.99 * freshness;
             break;
         case State::Suspected:
-            view.confidence = suspicion ? fresh * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
+            view.confidence = suspicion ? freshness * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
             break;
         case State::Dead:
-            view.confidence = 0.9 * fresh;
+            view.confidence = 0.9 * freshness;
             break;
         case State::Leaving:
         case State::Gone:
@@ -358,8 +365,8 @@
 }
 
 std::size_t Membership::bytes_held() const {
-    auto one = sizeof(Member) + sizeof(std::uint16_t) + sizeof(Number) + 8;
-    return sizeof *this + members.size() * one + suspicions.all().size() * (sizeof(Suspicion) + 64) +
+    auto per_member = sizeof(Member) + sizeof(std::uint16_t) + sizeof(Number) + 8;
+    return sizeof *this + members.size() * per_member + suspicions.all().size() * (sizeof(Suspicion) + 64) +
            (transfer ? transfer->bytes_held() : 0);
 }
 
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -1,26 +1,37 @@
-// Who of the routers is there. One Membership is one router's view and its part in the protocol: it is told
-// the time and the datagrams that came, and gives back datagrams to send and what has changed. No clock,
-// socket or thread.
+// One router's view of the group membership, and its part in the protocol: SWIM with the extensions of
+// Lifeguard. A Membership is told the time and the datagrams that were received, and returns datagrams to
+// send and changes of state. It uses no clock, socket or thread of its own.
 //
-//     Membership membership(start);
-//     for (auto& [from, bytes] : what_came) membership.hear(from, bytes, now);
-//     membership.pass(now);                      // after all that came was heard, and again at
-//     membership.due() for (auto& one : membership.outgoing()) send(one.to, one.bytes); for (auto& one :
-//     membership.changes()) tell(one);
+//     Membership membership(config);
+//     // Whenever datagrams have come, and at membership.next_tick() at the latest:
+//     for (auto& [from, bytes] : received) membership.receive(from, bytes, now);
+//     membership.tick(now);
+//     for (auto& datagram : membership.take_outgoing()) send(datagram.to, datagram.bytes);
+//     for (auto& change : membership.take_state_changes()) report(change);
 //
-// What it promises, and what follows for safety:
-//   - Nothing here is proof that a router is gone. A cut looks like death to both of its sides, a pause to
-//   all.
-//     So nobody's share may rise because others seem dead: amounts are divided by the count in the settings,
-//     or lent with an end; never by counts().surely. Only `Gone` is a fact: the router said so itself, about
-//     one life, and a new life may begin at any time.
-//   - A router that lives and can be reached through anyone stays out of `Dead` while datagrams get lost and
-//     come late, and comes back from it by itself once it is reached again.
-//   - A cut in one direction never makes a router suspected: it is `Silent` to the one that does not hear it.
-//   - A datagram is 256 bytes at most, and MembershipSettings::bytes_per_s bounds what is sent in the long
-//   run, with two
-//     seconds' worth at once, whatever comes in and however many routers there are.
-//   - Memory: some hundred bytes a router of the tier, all set aside at the start; 64 one-sided cuts.
+// Guarantees, and what follows from them for safety:
+//
+//   - No state proves that a router is gone: a partition looks like death to both of its sides, a paused
+//   router
+//     looks dead to all. So no router may take a larger share because others seem dead. Divide an amount by
+//     the configured number of routers, or lend it with an end; never divide it by counts().at_least. Only
+//     `Gone` is certain: the router announced it, for one life, and may start a new life at any time.
+//
+//   - A live router that can be reached through any other stays out of `Dead` while datagrams are lost or
+//   late.
+//     If it was declared dead, it returns by itself once it can be reached again.
+//
+//   - A cut in one direction never makes a router suspected: it is `Silent` to the router that does not hear
+//   it.
+//
+//   - A datagram has at most 256 bytes. MembershipSettings::bytes_per_s bounds the long-run rate of sending,
+//   with
+//     a burst of at most two seconds' worth, whatever is received and however many routers there are.
+//
+//   - Memory is some hundred bytes for each router, allocated at the start, and at most 64 one-sided cuts.
+//
+// Times are microseconds of the Unix clock. Datagrams that can't be used are dropped and counted, see
+// MembershipCounters::dropped.
 #pragma once
 
 #include <array>
@@ -45,24 +56,24 @@
 
 namespace quillgrade::peers {
 
-// Times and bytes, as the operators' file states them.
+// Settings of the protocol, as the operators' file gives them. Times are microseconds.
 struct MembershipSettings {
-    Micros probe_period = 333'000;          // between probes
-    double bytes_per_s = 300;               // of what a router sends, without the headers of UDP and IP
-    Micros shortest_suspicion = 2'100'000;  // from an accusation to a verdict, where several accuse
-    Micros longest_suspicion = 8'000'000;   // where one does
-    Micros longest_pause = 250'000;         // a later pass than this means that the router was away
+    Micros probe_period = 333'000;
+    double bytes_per_s = 300;               // that a router may send, without UDP and IP headers
+    Micros shortest_suspicion = 2'100'000;  // from the accusation to the verdict, with several accusers
+    Micros longest_suspicion = 8'000'000;   // with a single accuser
+    Micros longest_pause = 250'000;         // a call later than this means that the router was paused
     int indirect_probe_helpers = 2;
-    // State transfer at the start and after cuts (docs/state-transfer.md). Off: no datagram of its kinds is
-    // sent, and those that come are dropped and counted.
+    // State transfer at the start and after partitions (docs/state-transfer.md). When it is off, datagrams of
+    // its kinds are not sent, and those received are dropped and counted.
     bool state_transfer = false;
     bool operator==(const MembershipSettings&) const = default;
 };
 
 struct MembershipConfig {
     Number self = 0;
-    int routers = 1;
-    int zone = -1;
+    int routers = 1;  // in the group, this one included
+    int zone = -1;    // -1: none
     Life life = 1;
     std::uint64_t seed = 1;
     Micros now = 0;
@@ -70,13 +81,13 @@
 };
 
 enum class State {
-    Unknown,  // never heard of since I started
+    Unknown,  // no account of it has come since this router started
     Alive,
-    Suspected,  // accused, and may still answer
-    Silent,     // alive, but I don't hear it: others do
-    Dead,       // given up by those that could ask; may be a cut
-    Leaving,    // said by itself
-    Gone        // said by itself
+    Suspected,  // accused, and may still refute
+    Silent,     // alive, as other routers hear it, but its own datagrams do not reach this router
+    Dead,       // declared dead after nobody that probed it got an answer; may be a partition
+    Leaving,    // announced by the router itself
+    Gone        // announced by the router itself
 };
 const char* name_of(State state);
 
@@ -85,19 +96,20 @@
     State before, after;
     Micros at;
     MemberState member_state;
-    Number by;  // the accuser, helper or teller that made it so; `who` itself where it was heard; -1: a time
-                // ran out
+    Number
+        by;  // the accuser, helper or sender that caused it; `who` where its own datagram did; -1: a timeout
 };
 
 struct MemberView {
     State state = State::Unknown;
-    Micros since = 0;        // of the state
-    double confidence = 0;   // 0 to 1. 1 only for what the router said of itself; falls while I hear nobody
-    bool unhealthy = false;  // it answers us, but says that it gets no lookups handled
-    int zone = -1;           // -1: not heard yet
+    Micros since = 0;  // start of the state
+    double confidence =
+        0;  // 0 to 1. 1 only for what the router itself announced; falls while nobody is heard
+    bool unhealthy = false;  // it answers its peers, but reports that its lookups are not served
+    int zone = -1;           // -1: not known yet
     MemberState member_state{};
-    Micros last_heard = 0;                  // the last datagram of its own, 0: none
-    bool hears_me = true, is_heard = true;  // the two directions between it and me; true while not known cut
+    Micros last_heard = 0;                  // when its own last datagram came; 0: never
+    bool hears_me = true, is_heard = true;  // the link's two directions; true unless known to be cut
 };
 
 struct HealthChange {
@@ -105,8 +117,8 @@
     bool unhealthy;
 };
 
-// An interval: `surely` counts those alive, leaving or silent to me; `possibly` all but those that said they
-// were gone.
+// Bounds on the number of live routers: `at_least` counts those alive, leaving or silent; `at_most` counts
+// all but those that announced they are gone.
 struct Counts {
     int at_least = 0, at_most = 0;
 };
@@ -116,22 +128,24 @@
     std::string bytes;
 };
 
-// What rides along on datagrams that are sent anyway, in room that the membership leaves.
+// Supplies payload for the room that the membership leaves in the datagrams it sends.
 class Piggyback {
 public:
     virtual ~Piggyback() = default;
-    // At most `room` bytes for `to`, which are then sent once; empty: nothing.
+    // Returns at most `room` bytes for `to`, or nothing. They are sent once, and not again if they are lost.
     virtual std::string load(Number to, std::size_t room, Micros now) = 0;
-    // What rode along and has come, before what it came with is answered. `life` is the sender's.
+    // Takes payload that was received, before the datagram that carried it is answered. `life` is the
+    // sender's.
     virtual void unload(Number from, Life life, std::string_view bytes, Micros now) = 0;
 };
 
+// Totals since the start.
 struct MembershipCounters {
-    std::uint64_t piggyback_bytes = 0;
+    std::uint64_t piggyback_bytes = 0;  // sent
     std::uint64_t sent = 0, bytes_sent = 0, received = 0, withheld = 0, pauses = 0, refutations = 0,
                   accusations = 0;
     std::array<std::uint64_t, static_cast<std::size_t>(Dropped::Last)> dropped{};
-    // Of state transfer.
+    // State transfer.
     std::uint64_t range_requests = 0, pages_accepted = 0, pages_unsolicited = 0, pages_sent = 0,
                   requests_shed = 0;
 };
@@ -140,154 +154,156 @@
 public:
     explicit Membership(const MembershipConfig& start);
 
-    // A datagram from the address of router `from` in the list; -1: from an address that is not in it.
+    // Takes a datagram that came from the configured address of router `from`; -1: from any other address.
     void receive(Number from, std::string_view datagram, Micros now);
-    void tick(Micros now);           // what is due
-    Micros next_tick() const;        // when it wants to be called again at the latest
-    void leave(Micros now);          // SIGTERM: from now on it says that it leaves
-    void announce_exit(Micros now);  // the last word
-    void set_unhealthy(bool yes);    // whether it gets its lookups handled
-    std::vector<Outgoing> take_outgoing() { return std::exchange(out, {}); }
-    std::vector<StateChange> take_state_changes() { return std::exchange(changed, {}); }
-    std::vector<LinkReport> take_link_reports() {
-        return std::exchange(cut_news, {});
-    }  // one-sided cuts and their ends
+    void tick(Micros now);           // does what is due by now
+    Micros next_tick() const;        // the latest time for the next tick()
+    void leave(Micros now);          // on SIGTERM: announces from now on that it is leaving
+    void announce_exit(Micros now);  // at the end of the process: announces that it is gone
+    void set_unhealthy(bool yes);    // whether its lookups go unserved, which it tells the others
+    std::vector<Outgoing> take_outgoing() { return std::exchange(outgoing, {}); }
+    std::vector<StateChange> take_state_changes() { return std::exchange(state_changes, {}); }
+    // One-sided cuts that began or ended.
+    std::vector<LinkReport> take_link_reports() { return std::exchange(new_link_reports, {}); }
 
-    std::vector<HealthChange> take_health_changes() {
-        return std::exchange(health_news, {});
-    }  // who says it is ill, or well again
+    // Routers that became unhealthy or healthy, by their own report.
+    std::vector<HealthChange> take_health_changes() { return std::exchange(health_changes, {}); }
 
-    // Null: nobody rides. It has to outlive the membership, or be taken off.
-    void set_piggyback(Piggyback* rider) { piggyback = rider; }
-    // Datagrams for the passenger's sake, to `most` routers that are alive and can be talked with, of
-    // `in_zone` where that is not -1. False where the bytes for that are used up. Urgent ones may take what
-    // answers may.
+    // Not owned; null: none. It has to outlive the membership or be reset to null before.
+    void set_piggyback(Piggyback* source) { piggyback = source; }
+    // Sends datagrams for the sake of the piggybacked payload, to at most `most` routers that are alive and
+    // not cut off, of zone `in_zone` unless that is -1. Returns false where the byte budget allowed none.
+    // Urgent ones may also use bytes that are reserved for answers to others.
     bool send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now);
     bool send_piggyback(Number to, bool urgent, Micros now);
-    // The same to one, and where the bytes for it are not there they are saved up.
+    // Sends an urgent one to `to`, or has its bytes saved up until the end of the next tick.
     bool send_piggyback_or_reserve(Number to, Micros now) {
-        return !(piggyback_waits = !send_piggyback(to, true, now));
+        return !(reserves_for_piggyback = !send_piggyback(to, true, now));
     }
-    // Bytes that may be sent for the passenger's sake now.
+    // Bytes that non-urgent datagrams for the payload's sake may use now.
     double spare_bytes(Micros now);
 
     MemberView view(Number who, Micros now) const;
     State state(Number who) const;
-    int zone_of(Number who) const { return at(who).zone; }  // -1: not heard yet
+    int zone_of(Number who) const { return at(who).zone; }  // -1: not known yet
     int own_zone() const { return zone; }
-    Number own_number() const { return number; }
+    Number own_number() const { return self_number; }
     Counts counts() const;
     std::vector<LinkReport> cuts() const { return reachability.cuts(); }
-    const MemberState& self() const { return me; }
-    const MembershipCounters& counters() const { return seen; }
+    const MemberState& self() const { return self_state; }
+    const MembershipCounters& counters() const { return totals; }
     int routers() const { return static_cast<int>(members.size()); }
     std::size_t bytes_held() const;
-    // It has started, or was away for long, and still fetches the accounts of the others. Never without
-    // MembershipSettings::state_transfer.
+    // Whether it is still fetching the accounts of the others, after its start or a long pause. Always false
+    // without MembershipSettings::state_transfer.
     bool transferring() const;
 
 private:
-    static constexpr std::size_t most_changes = 10'000;  // kept until they are fetched
+    // Changes kept until they are taken, so that a caller which never takes them does not use memory without
+    // bound.
+    static constexpr std::size_t max_kept_changes = 10'000;
 
     struct Member {
         MemberState member_state;
-        Micros since = 0, heard = 0, changed = 0;
+        Micros since = 0, last_heard = 0, changed_at = 0;
         State state = State::Unknown;
         std::int16_t zone = -1;
     };
     struct Probe {
-        std::uint32_t number;
+        std::uint32_t id;
         Number target;
-        Micros sent, step_at;
-        Micros asks_end;  // from then on nobody is asked any more, and only answers are waited for
-        Micros end;
-        bool starved = false, passed_on = false;
-        int steps = 0, helpers = 0, noes = 0;
+        Micros sent_at, next_step_at;
+        Micros asking_until;  // from then on it sends nothing more and only waits for answers
+        Micros ends_at;
+        bool lacked_bytes = false, answered_via_helper = false;
+        int steps = 0, helpers_asked = 0, nacks = 0;
         Number helper = -1;
     };
-    struct IndirectProbe {  // a probe for somebody else
-        std::uint32_t number;
-        Number asker, target;
-        Micros say_no_at, end;
-        bool said_no = false;
+    // A probe that another router asked for.
+    struct IndirectProbe {
+        std::uint32_t id;
+        Number requester, target;
+        Micros nack_at, ends_at;
+        bool settled = false;  // the requester was sent the answer or a NACK
     };
 
-    // In probe_schedule: what others make this router send never takes the bytes of its own probes, nor news
-    // those of answers.
-    enum class SendPriority { Probe, Answer, Insist, IndirectProbe, News, Spare };
-    static double kept_back(SendPriority need);
+    // By descending claim on the byte budget: what others make this router send never takes the bytes of its
+    // own probes, and gossip never takes those of answers.
+    enum class SendPriority { Probe, Answer, ProbeRetry, IndirectProbe, Gossip, Background };
+    static double reserve_seconds(SendPriority priority);
 
-    void arrive(Micros now);
-    void take(const Message& message, Micros now);
-    // Whether what is new here is told to others by gossip.
-    enum class Spread { Yes, No };
-    void take(const Account& account, Number by, Micros now, Spread spreading = Spread::Yes);
-    void take_by_kind(const Message& message, Micros now);
-    void take_accusations(const Message& message, Micros now);
+    void handle_pause(Micros now);
+    void process(const Message& message, Micros now);
+    // Whether an account that is new here is gossiped to others.
+    enum class Disseminate { Yes, No };
+    void merge_account(const Account& account, Number by, Micros now,
+                       Disseminate disseminate = Disseminate::Yes);
+    void dispatch(const Message& message, Micros now);
+    void apply_accusations(const Message& message, Micros now);
     void apply_link_reports(const Message& message, Micros now);
-    void about_me(const MemberState& told);
+    void refute(const MemberState& reported);
     void accuse(Number who, Number accuser, Micros age, Micros now);
-    void judge(Micros now);
-    bool make_last_call(Number who, Micros now);
-    bool asks_accused();
-    void note(Number who, Number by, Micros now);
-    void note_cut(Number speaker, Number listener, bool cut, Number by, Micros now);
-    void note_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now);
-    State worked_out(Number who) const;
-    void new_life();
-    void say_anew(bool urgent);
-    void spread(Number who, bool urgent);
-    void pass_on(Micros now);
-    void tell_some(std::size_t many, Micros now);
+    void check_suspicions(Micros now);
+    bool send_last_call(Number who, Micros now);
+    bool chosen_to_ping_accused();
+    void update_state(Number who, Number by, Micros now);
+    void report_link(Number speaker, Number listener, bool cut, Number by, Micros now);
+    void report_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now);
+    State derived_state(Number who) const;
+    void begin_new_life();
+    void raise_incarnation(bool urgent);
+    void enqueue_gossip(Number who, bool urgent);
+    void send_urgent_gossip(Micros now);
+    void send_gossip(std::size_t receivers, Micros now);
 
     std::vector<Account> corrections_to(const Message& ping) const;
     void answer_ping(const Message& ping, Micros now);
-    void answered(const Message& heard, Micros now);
-    void pass_answer_on(const Message& heard, Micros now);
-    void probe_for_another(const Message& ask, Micros now);
-    void compare(const Message& digest, Micros now);
-    bool knows_all(Micros now) const;
-    bool leaves_gossip_to_others() const;
+    void handle_answer(const Message& answer, Micros now);
+    void relay_answer(const Message& answer, Micros now);
+    void start_indirect_probe(const Message& request, Micros now);
+    void compare_digest(const Message& digest, Micros now);
+    bool is_complete(Micros now) const;
+    bool suppresses_gossip() const;
     void fetch_blocks(const std::vector<Number>& starts, Number from, Micros now);
-    void ask_for_ranges(Micros now);
+    void request_ranges(Micros now);
     HelperRank rank_as_helper(Number who) const;
-    void take_page(const Message& message, Micros now);
-    bool worsens(const Account& account) const;
+    void handle_page(const Message& message, Micros now);
+    bool has_worse_verdict(const Account& account) const;
     void answer_range_request(const Message& request, Micros now);
-    Message page_from(Number first, Number end, Micros now) const;
-    bool send_as_helper(Number to, const Message& message, Micros now);
-    void say_busy(Number to, Micros now);
-    bool send_alone(Number to, Message message, SendPriority priority, Micros now);
-    void hand_out(Number to, std::string bytes, Micros now);
-    double bytes_left(Micros now);
-    void spend(std::size_t bytes);
+    Message build_page(Number first, Number end, Micros now) const;
+    bool send_page(Number to, const Message& message, Micros now);
+    void send_busy(Number to, Micros now);
+    bool send_without_gossip(Number to, Message message, SendPriority priority, Micros now);
+    void enqueue_outgoing(Number to, std::string bytes, Micros now);
+    double available_bytes(Micros now);
+    void spend_bytes(std::size_t bytes);
 
-    void probe_in_slot(Micros now);
-    void step_probes(Micros now);
-    void say_no_to_askers(Micros now);
-    void probe(Number target, Micros now);
+    void probe_scheduled_target(Micros now);
+    void advance_probes(Micros now);
+    void send_due_nacks(Micros now);
+    void start_probe(Number target, Micros now);
     bool awaits_account(Number who) const;
-    bool thought_there(Number who) const;
-    void step(Probe& probe, Micros now);
-    void end_probe(const Probe& probe, Micros now);
-    Micros time_through_helper(Micros now);
-    void look_again(Micros now);
+    bool believed_present(Number who) const;
+    void advance_probe(Probe& probe, Micros now);
+    void finish_probe(const Probe& probe, Micros now);
+    Micros indirect_answer_timeout(Micros now);
+    void reprobe_doubtful(Micros now);
     void send_digest(Micros now);
-    std::vector<Number> pick(std::size_t most, Number but, int in_zone = -1);
+    std::vector<Number> pick_peers(std::size_t most, Number excluded, int in_zone = -1);
     bool send(Number to, Message message, SendPriority priority, Micros now,
               const std::vector<Account>& first = {}, bool for_piggyback = false);
-    void add_news(Number to, Message& message, const std::vector<Account>& first, double left, Micros now);
+    void add_updates(Number to, Message& message, const std::vector<Account>& first, double left, Micros now);
     void add_accusation_of_receiver(Number to, Message& message, Micros now);
     void add_gossip(Message& message, double room, Micros now);
     bool add_account(Number who, Message& message, double room, Micros now) const;
-    void load_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now);
+    void add_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now);
     Member& at(Number who) { return members[static_cast<std::size_t>(who)]; }
     const Member& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
 
-    Number number;
+    Number self_number;
     int zone;
     MembershipSettings settings;
-    MemberState me;
+    MemberState self_state;
     std::vector<Member> members;
     ProbeSchedule probe_schedule;
     Suspicions suspicions;
@@ -296,24 +312,24 @@
     LocalHealth local_health;
     RoundTrips round_trips;
     ByteBudget byte_budget;
-    std::optional<StateTransfer> transfer;  // only with MembershipSettings::state_transfer, as the next
+    std::optional<StateTransfer> transfer;  // set if settings.state_transfer, as is page_server
     std::optional<PageServer> page_server;
-    boost::random::taus88 chance;
+    boost::random::taus88 generator;
     std::vector<Probe> probes;
     std::vector<IndirectProbe> indirect_probes;
-    std::vector<Outgoing> out;
-    std::vector<StateChange> changed;
-    std::vector<LinkReport> cut_news;
-    std::vector<HealthChange> health_news;
+    std::vector<Outgoing> outgoing;
+    std::vector<StateChange> state_changes;
+    std::vector<LinkReport> new_link_reports;
+    std::vector<HealthChange> health_changes;
     Piggyback* piggyback = nullptr;
-    bool piggyback_waits = false;  // it has something urgent, and the bytes for it have to be saved up
-    MembershipCounters seen;
-    std::uint32_t next_probe = 1;
+    bool reserves_for_piggyback = false;  // bytes are saved up for urgent payload
+    MembershipCounters totals;
+    std::uint32_t next_probe_id = 1;
     std::int64_t last_slot = -1;
-    Micros digest_at = 0, look_again_at = 0, expire_at = 0, heard_any = 0;
-    int unlike = 0;      // digests to send soon, since the last found differences or I am new
-    Number window = 0;   // where the next digest starts
-    bool fresh = false;  // urgent news that nobody was told yet
+    Micros next_digest_at = 0, next_reprobe_at = 0, next_expiry_at = 0, last_heard_any = 0;
+    int early_digests = 0;  // digests to send soon, because the last found differences or this router is new
+    Number digest_start = 0;             // where the next digest starts
+    bool urgent_gossip_pending = false;  // urgent news that has been sent to nobody yet
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -1,5 +1,5 @@
-// The parts of a Membership that find and mend differences in bulk: digests by ranges of members, and state
-// transfer. What is new and small goes by gossip (membership.cpp).
+// The anti-entropy part of a Membership, which finds and repairs differences in bulk: digests by ranges of
+// members, and state transfer. Single updates are spread by gossip (membership_sending.cpp).
 #include <xxhash.h>
 
 #include <algorithm>
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr int most_hashes = 48;      // of a digest, so that it fits into a datagram with its head
-constexpr int most_told = 20;        // accounts that fit into the answer to a digest
-constexpr int least_to_fetch = 4;    // blocks that differ; fewer are told in one answer
-constexpr std::size_t page_tag = 4;  // bytes of a page's field number and length
+constexpr int max_hashes = 48;             // in a digest, so that it fits into a datagram with its header
+constexpr int max_answer_accounts = 20;    // that fit into the answer to a digest
+constexpr int min_blocks_to_fetch = 4;     // differing blocks; the accounts of fewer fit into one answer
+constexpr std::size_t page_tag_bytes = 4;  // field number and length of a page
 
-std::uint32_t hash_of(const MemberState& s, Number who, std::uint32_t so_far) {
+std::uint32_t hash_of(const MemberState& s, Number who, std::uint32_t seed) {
     const std::array<std::uint64_t, 2> words = {
         s.life, (static_cast<std::uint64_t>(who) << 48) | (static_cast<std::uint64_t>(s.incarnation) << 8) |
                     (s.ill ? 64U : 0U) | static_cast<std::uint64_t>(s.verdict) * 4 |
                     static_cast<std::uint64_t>(s.phase)};
-    return XXH32(words.data(), sizeof words, so_far);
+    return XXH32(words.data(), sizeof words, seed);
 }
 
 }  // namespace
@@ -30,37 +30,39 @@
 // ---- digests
 
 void Membership::send_digest(Micros now) {
-    bool soon = unlike > 0;
-    if (unlike > 0) unlike--;
-    digest_at = now + settings.probe_period * (soon ? 2 : 10);
-    // All would differ, and the answers say less than pages do.
+    bool soon = early_digests > 0;
+    if (early_digests > 0) early_digests--;
+    next_digest_at = now + settings.probe_period * (soon ? 2 : 10);
+    // Nearly all blocks would differ, and the answers hold fewer accounts than pages do.
     if (transferring()) return;
-    // Without state transfer a second's worth has to be there, of two; with it no more than one is saved up.
-    auto enough = transfer ? kept_back(SendPriority::Spare) * settings.bytes_per_s : settings.bytes_per_s;
-    if (bytes_left(now) < enough) return;
-    auto to = pick(1, -1);
+    // Without state transfer a digest needs one second's worth of bytes, of the two that can be saved up.
+    // With it only one second's worth can be saved up, so a digest needs the usual reserve.
+    auto needed =
+        transfer ? reserve_seconds(SendPriority::Background) * settings.bytes_per_s : settings.bytes_per_s;
+    if (available_bytes(now) < needed) return;
+    auto to = pick_peers(1, -1);
     if (to.empty()) return;
     Message digest;
     digest.kind = Kind::Digest;
-    digest.first = window;
+    digest.first = digest_start;
     auto blocks = (routers() + block - 1) / block;
-    for (int i = 0; i < std::min(blocks, most_hashes); i++) {
+    for (int i = 0; i < std::min(blocks, max_hashes); i++) {
         std::uint32_t hash = 0;
         for (int step = 0; step < block; step++) {
-            auto who = (window + i * block + step) % routers();
+            auto who = (digest_start + i * block + step) % routers();
             hash = hash_of(at(who).member_state, who, hash);
         }
         digest.hashes.push_back(hash);
     }
-    if (blocks > most_hashes) window = (window + most_hashes * block) % routers();
+    if (blocks > max_hashes) digest_start = (digest_start + max_hashes * block) % routers();
     digest.link_reports = reachability.next_cuts(most_link_reports);
-    send(to[0], digest, SendPriority::Spare, now);
+    send(to[0], digest, SendPriority::Background, now);
 }
 
-void Membership::compare(const Message& digest, Micros now) {
+void Membership::compare_digest(const Message& digest, Micros now) {
     if (transferring()) return;
-    std::vector<Account> unlike_here;
-    std::vector<Number> unlike_blocks;
+    std::vector<Account> differing_accounts;
+    std::vector<Number> differing_blocks;
     for (std::size_t i = 0; i < digest.hashes.size(); i++) {
         std::uint32_t hash = 0;
         std::vector<Account> accounts;
@@ -72,54 +74,57 @@
             if (member_state.life > 0 && who != digest.from) accounts.push_back({who, member_state});
         }
         if (hash == digest.hashes[i]) continue;
-        unlike_blocks.push_back(block_start);
-        unlike_here.insert(unlike_here.end(), accounts.begin(), accounts.end());
+        differing_blocks.push_back(block_start);
+        differing_accounts.insert(differing_accounts.end(), accounts.begin(), accounts.end());
     }
-    if (transfer) fetch_blocks(unlike_blocks, digest.from, now);
-    // What has changed last here is the likeliest to be unknown there.
-    std::stable_sort(unlike_here.begin(), unlike_here.end(),
-                     [this](auto& a, auto& b) { return at(a.who).changed > at(b.who).changed; });
-    Message news;
-    news.kind = Kind::News;
-    // Gossip tells the end of a cut a bounded number of times, so now and then it misses a router.
-    news.link_reports = reachability.ended_of(digest.link_reports);
-    if (unlike_here.empty() && news.link_reports.empty()) return;
-    if (!unlike_here.empty()) unlike = std::min(unlike + 1, 4);
-    // The other half of the room goes by chance, so that none is left out for good.
-    for (std::size_t i = most_told / 2; i < std::min<std::size_t>(most_told, unlike_here.size()); i++) {
-        boost::random::uniform_int_distribution<std::size_t> draw(i, unlike_here.size() - 1);
-        std::swap(unlike_here[i], unlike_here[draw(chance)]);
+    if (transfer) fetch_blocks(differing_blocks, digest.from, now);
+    // The accounts that changed last here are the likeliest to be unknown to the sender of the digest.
+    std::stable_sort(differing_accounts.begin(), differing_accounts.end(),
+                     [this](auto& a, auto& b) { return at(a.who).changed_at > at(b.who).changed_at; });
+    Message reply;
+    reply.kind = Kind::News;
+    // Gossip repeats the end of a cut a bounded number of times, so it sometimes misses a router.
+    reply.link_reports = reachability.ended_of(digest.link_reports);
+    if (differing_accounts.empty() && reply.link_reports.empty()) return;
+    if (!differing_accounts.empty()) early_digests = std::min(early_digests + 1, 4);
+    // The second half of the answer is drawn at random, so that no account is left out for good.
+    for (std::size_t i = max_answer_accounts / 2;
+         i < std::min<std::size_t>(max_answer_accounts, differing_accounts.size()); i++) {
+        boost::random::uniform_int_distribution<std::size_t> draw(i, differing_accounts.size() - 1);
+        std::swap(differing_accounts[i], differing_accounts[draw(generator)]);
     }
-    if (unlike_here.size() > most_told) unlike_here.resize(most_told);
-    send(digest.from, news, SendPriority::Spare, now, unlike_here);
+    if (differing_accounts.size() > max_answer_accounts) differing_accounts.resize(max_answer_accounts);
+    send(digest.from, reply, SendPriority::Background, now, differing_accounts);
 }
 
-// ---- state transfer, as the one who asks
+// ---- state transfer, as the requester
 
 bool Membership::transferring() const {
     return transfer && transfer->phase() == StateTransfer::Phase::Running;
 }
 
-// Guards against gossip of a router that has just started, about what the others know already: it would take
-// the bytes of its pages. Where all start at once, gossip is needed.
-bool Membership::leaves_gossip_to_others() const { return transferring() && transfer->tier_is_complete(); }
+// A router that has just started does not gossip: the others know its news already, and gossip would take the
+// bytes of the pages it requests. Where all routers start at once, gossip is needed.
+bool Membership::suppresses_gossip() const { return transferring() && transfer->tier_is_complete(); }
 
-// Whether members that this router has no account of are unknown to the others too, as far as it can tell.
-bool Membership::knows_all(Micros now) const {
+// Whether a member without an account here is unknown to the other routers too, as far as this router can
+// tell.
+bool Membership::is_complete(Micros now) const {
     return transfer->phase() == StateTransfer::Phase::Complete &&
-           now - heard_any <= settings.longest_suspicion;
+           now - last_heard_any <= settings.longest_suspicion;
 }
 
-// Where many blocks differ from somebody else's, as after a partition, gossip would take long.
+// Requests pages where many blocks differ from those of `from`, as after a partition: gossip would take too
+// long.
 void Membership::fetch_blocks(const std::vector<Number>& starts, Number from, Micros now) {
-    if (static_cast<int>(starts.size()) < least_to_fetch) return;
+    if (static_cast<int>(starts.size()) < min_blocks_to_fetch) return;
     for (auto start : starts) transfer->refresh(start, std::min(block, routers() - start), from, now);
 }
 
-void Membership::ask_for_ranges(Micros now) {
+void Membership::request_ranges(Micros now) {
     transfer->expire(now);
-    bool heard_lately = now - heard_any <= settings.probe_period * 3;
-    if (transfer->phase() == StateTransfer::Phase::Failed && heard_lately) transfer->begin(now);
+    bool heard_recently = now - last_heard_any <= settings.probe_period * 3;
+    if (transfer->phase() == StateTransfer::Phase::Failed && heard_recently) transfer->begin(now);
     auto rank = [this](Number who) { return rank_as_helper(who); };
     while (auto wanted = transfer->next(rank, now)) {
         Message request;
@@ -127,38 +132,41 @@
         request.first = wanted->first;
         request.range_members = wanted->members;
         request.pages = wanted->pages;
-        if (send_alone(wanted->helper, std::move(request), SendPriority::Answer, now)) seen.range_requests++;
+        if (send_without_gossip(wanted->helper, std::move(request), SendPriority::Answer, now))
+            totals.range_requests++;
     }
 }
 
 HelperRank Membership::rank_as_helper(Number who) const {
     auto state = at(who).state;
     if (state == State::Unknown) return HelperRank::Fit;
-    if (state != State::Alive || reachability.cut(number, who)) return HelperRank::Unfit;
+    if (state != State::Alive || reachability.cut(self_number, who)) return HelperRank::Unfit;
     return zone >= 0 && at(who).zone == zone ? HelperRank::Near : HelperRank::Fit;
 }
 
-void Membership::take_page(const Message& message, Micros now) {
+void Membership::handle_page(const Message& message, Micros now) {
     if (!message.page) return transfer->take_busy(message.from, now);
-    // Guards against pages that nobody asked for, and those that were on their way for too long.
+    // Guards against unsolicited pages, and against pages that are too old.
     if (!transfer->expects(message.from, *message.page, now)) {
-        seen.pages_unsolicited++;
+        totals.pages_unsolicited++;
         return;
     }
-    seen.pages_accepted++;
+    totals.pages_accepted++;
     for (auto& account : message.page->accounts)
-        if (!worsens(account)) take(account, message.from, now, Spread::No);
+        if (!has_worse_verdict(account)) merge_account(account, message.from, now, Disseminate::No);
     transfer->take(message.from, *message.page, message.complete, now);
 }
 
-// Guards against a wave of verdicts after a partition: each side has given up all of the other, and a page of
-// them would make the living dead at once to those who know better. A verdict on somebody alive here only
-// comes by gossip, with its accuser, or from what this router asks itself.
-bool Membership::worsens(const Account& account) const {
+// Whether the account only brings a worse verdict on the same incarnation. Guards against a wave of false
+// verdicts after a partition: each side has declared the other side dead, and pages from there would make
+// live routers dead here at once. A verdict on a router that is alive here is taken only from gossip, which
+// names the accuser, or from probes of this router.
+bool Membership::has_worse_verdict(const Account& account) const {
     auto& known = at(account.who).member_state;
-    auto& told = account.member_state;
-    return account.who != number && known.life == told.life && known.incarnation == told.incarnation &&
-           known.phase == told.phase && known.verdict < told.verdict;
+    auto& reported = account.member_state;
+    return account.who != self_number && known.life == reported.life &&
+           known.incarnation == reported.incarnation && known.phase == reported.phase &&
+           known.verdict < reported.verdict;
 }
 
 // ---- state transfer, as a helper
@@ -166,59 +174,59 @@
 void Membership::answer_range_request(const Message& request, Micros now) {
     auto first = request.first, end = request.first + request.range_members;
     for (int i = 0; i < request.pages && first < end; i++) {
-        auto answer = page_from(first, end, now);
+        auto answer = build_page(first, end, now);
         if (!answer.page) return;
-        if (!send_as_helper(request.from, answer, now)) {
-            if (i == 0) say_busy(request.from, now);
+        if (!send_page(request.from, answer, now)) {
+            if (i == 0) send_busy(request.from, now);
             return;
         }
-        seen.pages_sent++;
+        totals.pages_sent++;
         first = answer.page->end();
     }
 }
 
-Message Membership::page_from(Number first, Number end, Micros now) const {
+Message Membership::build_page(Number first, Number end, Micros now) const {
     Message message;
-    message.from = number;
-    message.self = me;
+    message.from = self_number;
+    message.self = self_state;
     message.zone = zone;
     message.kind = Kind::RangePage;
-    message.complete = knows_all(now);
+    message.complete = is_complete(now);
     std::vector<MemberState> states;
     for (Number who = first; who < std::min(end, first + most_page_members); who++)
         states.push_back(at(who).member_state);
-    message.page = largest_page(first, states, longest - encode(message).size() - page_tag);
+    message.page = largest_page(first, states, longest - encode(message).size() - page_tag_bytes);
     return message;
 }
 
-bool Membership::send_as_helper(Number to, const Message& message, Micros now) {
+bool Membership::send_page(Number to, const Message& message, Micros now) {
     auto bytes = encode(message);
     if (!page_server->allows(bytes.size(), now)) return false;
     page_server->spend_page(bytes.size());
-    hand_out(to, std::move(bytes), now);
+    enqueue_outgoing(to, std::move(bytes), now);
     return true;
 }
 
-// Cheaper for the one who asks than a time that runs out.
-void Membership::say_busy(Number to, Micros now) {
-    seen.requests_shed++;
+// Tells the requester to try another helper, which costs it less time than waiting for a timeout.
+void Membership::send_busy(Number to, Micros now) {
+    totals.requests_shed++;
     Message busy;
     busy.kind = Kind::RangePage;
-    send_alone(to, std::move(busy), SendPriority::News, now);
+    send_without_gossip(to, std::move(busy), SendPriority::Gossip, now);
 }
 
-// Without news: they would take the receiver's bytes for pages.
-bool Membership::send_alone(Number to, Message message, SendPriority priority, Micros now) {
-    if (bytes_left(now) <= kept_back(priority) * settings.bytes_per_s) {
-        seen.withheld++;
+// Adds no gossip, which would take bytes of the receiver that it needs for pages.
+bool Membership::send_without_gossip(Number to, Message message, SendPriority priority, Micros now) {
+    if (available_bytes(now) <= reserve_seconds(priority) * settings.bytes_per_s) {
+        totals.withheld++;
         return false;
     }
-    message.from = number;
-    message.self = me;
+    message.from = self_number;
+    message.self = self_state;
     message.zone = zone;
     auto bytes = encode(message);
-    spend(bytes.size());
-    hand_out(to, std::move(bytes), now);
+    spend_bytes(bytes.size());
+    enqueue_outgoing(to, std::move(bytes), now);
     return true;
 }
 
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -1,5 +1,5 @@
 // The part of a Membership that probes others and answers probes: pings, indirect probes through helpers, and
-// what the end of a probe without an answer says.
+// what follows from a probe that ends without an answer.
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
 #include <limits>
@@ -11,257 +11,267 @@
 namespace {
 
 constexpr Micros never = std::numeric_limits<Micros>::max();
-constexpr int most_indirect_probes = 32, most_probes = 8;
-constexpr int most_again = 2;                // probed once more at a time
-constexpr std::size_t most_corrections = 3;  // that the answer to a ping brings along
+constexpr int max_indirect_probes = 32, max_probes = 8;
+constexpr int max_reprobes = 2;             // routers that one reprobe_doubtful() probes
+constexpr std::size_t max_corrections = 3;  // accounts in the answer to a ping
 
 }  // namespace
 
-void Membership::probe_in_slot(Micros now) {
+void Membership::probe_scheduled_target(Micros now) {
     auto slot = probe_schedule.slot(now);
     if (routers() <= 1 || slot <= last_slot) return;
-    // In doubt of itself a router asks more rarely.
+    // With poor local health a router probes more rarely.
     auto target = probe_schedule.target(slot);
-    if (slot % local_health.multiplier() == 0 && !awaits_account(target)) probe(target, now);
+    if (slot % local_health.multiplier() == 0 && !awaits_account(target)) start_probe(target, now);
     last_slot = slot;
 }
 
-void Membership::step_probes(Micros now) {
+void Membership::advance_probes(Micros now) {
     for (std::size_t i = 0; i < probes.size();) {
         auto& one = probes[i];
-        if (now >= one.step_at && now < one.end && !one.passed_on) step(one, now);
-        if (now < one.end) {
+        if (now >= one.next_step_at && now < one.ends_at && !one.answered_via_helper) advance_probe(one, now);
+        if (now < one.ends_at) {
             i++;
             continue;
         }
         auto ended = one;
         probes.erase(probes.begin() + static_cast<std::ptrdiff_t>(i));
-        end_probe(ended, now);
+        finish_probe(ended, now);
     }
 }
 
-void Membership::probe(Number target, Micros now) {
-    if (probes.size() >= most_probes) return;
+void Membership::start_probe(Number target, Micros now) {
+    if (probes.size() >= max_probes) return;
     Message ping;
     ping.kind = Kind::Ping;
-    ping.probe = next_probe;
-    next_probe = next_probe % 0x3fff + 1;  // two bytes on the wire
+    ping.probe = next_probe_id;
+    next_probe_id = next_probe_id % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
     auto wait = settings.probe_period * local_health.multiplier();
     probes.push_back({ping.probe, target, now, now + settings.probe_period / 6, now + wait, now + wait});
-    // Where one direction is known to be cut, helpers are asked at once, and the ping only tells whether it
-    // still is.
-    if (reachability.cut(number, target) || reachability.cut(target, number)) step(probes.back(), now);
+    // Where one direction is known to be cut, helpers are asked at once, and the ping only finds out whether
+    // the cut persists.
+    if (reachability.cut(self_number, target) || reachability.cut(target, self_number))
+        advance_probe(probes.back(), now);
 }
 
-// While all accounts are fetched, those of whom there is none yet are not probed: the answers, full of news,
+// During state transfer, routers without an account here are not probed: the answers, which bring gossip,
 // would take the bytes of pages.
 bool Membership::awaits_account(Number who) const {
     return transferring() && at(who).state == State::Unknown;
 }
 
-// Whether it is worth more than one ping, and an accusation: it is not given up, nor has it gone.
-bool Membership::thought_there(Number who) const {
+// Whether the router is believed to run, so that a probe without an answer is worth more pings and an
+// accusation.
+bool Membership::believed_present(Number who) const {
     auto state = at(who).state;
     return state == State::Alive || state == State::Suspected || state == State::Silent ||
            state == State::Leaving;
 }
 
-// No answer so far. A lost datagram is the likeliest cause, and a second ping costs less than helpers do;
-// from then on it is asked straight and through others, other ones each time. All that is known of zones goes
-// into the choice of helpers, since what cuts one off cuts off its neighbours.
-void Membership::step(Probe& probe, Micros now) {
-    auto step_after = [&](Micros wait) { probe.step_at = now + wait < probe.asks_end ? now + wait : never; };
-    step_after(settings.probe_period / 6 * local_health.multiplier());
-    // Whom it has accused already, it only tells so.
+// The next step of a probe without an answer so far. A lost datagram is the likeliest cause, and a second
+// ping costs less than helpers do, so the first step only pings again. Each later step pings the target
+// directly and asks other helpers to probe it. Helpers are drawn from different zones, since a fault that
+// cuts off one router often cuts off the others of its zone.
+void Membership::advance_probe(Probe& probe, Micros now) {
+    auto schedule_step = [&](Micros wait) {
+        probe.next_step_at = now + wait < probe.asking_until ? now + wait : never;
+    };
+    schedule_step(settings.probe_period / 6 * local_health.multiplier());
+    // A target that this router has accused already gets one ping, which carries the accusation, and no more
+    // steps.
     auto* suspicion = suspicions.find(probe.target);
-    bool said = suspicion && !suspicion->probe_before_verdict &&
-                std::count(suspicion->accusers.begin(), suspicion->accusers.end(), number);
-    if (!thought_there(probe.target) || said) return;
-    bool cut = reachability.cut(number, probe.target) || reachability.cut(probe.target, number);
+    bool accused = suspicion && !suspicion->probe_before_verdict &&
+                   std::count(suspicion->accusers.begin(), suspicion->accusers.end(), self_number);
+    if (!believed_present(probe.target) || accused) return;
+    bool cut = reachability.cut(self_number, probe.target) || reachability.cut(probe.target, self_number);
     if (cut) {
-        step_after(settings.probe_period / 3 * local_health.multiplier());
+        schedule_step(settings.probe_period / 3 * local_health.multiplier());
         probe.steps++;
     } else {
         Message ping;
         ping.kind = Kind::Ping;
-        ping.probe = probe.number;
-        probe.starved |= !send(probe.target, ping, SendPriority::Insist, now);
+        ping.probe = probe.id;
+        probe.lacked_bytes |= !send(probe.target, ping, SendPriority::ProbeRetry, now);
     }
     if (probe.steps++ == 0) return;
-    for (auto helper : pick(static_cast<std::size_t>(probe.steps < 4 ? 1 : settings.indirect_probe_helpers),
-                            probe.target)) {
-        Message ask;
-        ask.kind = Kind::Ask;
-        ask.probe = probe.number;
-        ask.about = probe.target;
-        // Those asked later have no time to say no.
-        bool sent = send(helper, ask, SendPriority::Insist, now);
-        probe.starved |= !sent;
-        if (sent && probe.steps <= 3) probe.helpers++;
-        if (sent) probe.end = std::max(probe.end, now + time_through_helper(now));
+    for (auto helper : pick_peers(
+             static_cast<std::size_t>(probe.steps < 4 ? 1 : settings.indirect_probe_helpers), probe.target)) {
+        Message request;
+        request.kind = Kind::Ask;
+        request.probe = probe.id;
+        request.about = probe.target;
+        // Only helpers of the first steps are expected to send a NACK; those asked later have no time to.
+        bool sent = send(helper, request, SendPriority::ProbeRetry, now);
+        probe.lacked_bytes |= !sent;
+        if (sent && probe.steps <= 3) probe.helpers_asked++;
+        if (sent) probe.ends_at = std::max(probe.ends_at, now + indirect_answer_timeout(now));
     }
 }
 
-// Guards against accusations of routers that only others can reach, in a tier whose routers are far apart:
-// the answer to an indirect probe takes longer there than a period.
-Micros Membership::time_through_helper(Micros now) { return 2 * round_trips.longest(now); }
+// Guards against false accusations of routers that only others can reach, where routers are far apart: the
+// answer to an indirect probe can take longer there than a probe period.
+Micros Membership::indirect_answer_timeout(Micros now) { return 2 * round_trips.longest(now); }
 
-// Up to `most` that are alive here, can be talked with both ways, and can talk with `but` as far as is known,
-// drawn at random, of as many zones as can be.
-std::vector<Number> Membership::pick(std::size_t most, Number but, int in_zone) {
-    std::vector<Number> able;
+// Draws at most `most` routers at random, from as many zones as possible: those that are alive here, without
+// a known cut in either direction between them and this router, or between them and `excluded`.
+std::vector<Number> Membership::pick_peers(std::size_t most, Number excluded, int in_zone) {
+    std::vector<Number> candidates;
     for (Number who = 0; who < routers(); who++)
-        if (who != number && who != but && at(who).state == State::Alive && !reachability.cut(number, who) &&
-            (in_zone < 0 || at(who).zone == in_zone) &&
-            (but < 0 || (!reachability.cut(who, but) && !reachability.cut(but, who))))
-            able.push_back(who);
+        if (who != self_number && who != excluded && at(who).state == State::Alive &&
+            !reachability.cut(self_number, who) && (in_zone < 0 || at(who).zone == in_zone) &&
+            (excluded < 0 || (!reachability.cut(who, excluded) && !reachability.cut(excluded, who))))
+            candidates.push_back(who);
     std::vector<Number> picked;
     std::vector<int> zones;
-    for (std::size_t i = 0; i < able.size() && picked.size() < most && i < 8 * most; i++) {
-        boost::random::uniform_int_distribution<std::size_t> draw(i, able.size() - 1);
-        std::swap(able[i], able[draw(chance)]);
-        if (std::count(zones.begin(), zones.end(), at(able[i]).zone)) continue;
-        zones.push_back(at(able[i]).zone);
-        picked.push_back(able[i]);
+    for (std::size_t i = 0; i < candidates.size() && picked.size() < most && i < 8 * most; i++) {
+        boost::random::uniform_int_distribution<std::size_t> draw(i, candidates.size() - 1);
+        std::swap(candidates[i], candidates[draw(generator)]);
+        if (std::count(zones.begin(), zones.end(), at(candidates[i]).zone)) continue;
+        zones.push_back(at(candidates[i]).zone);
+        picked.push_back(candidates[i]);
     }
-    for (auto who : able)
+    for (auto who : candidates)
         if (picked.size() < most && !std::count(picked.begin(), picked.end(), who)) picked.push_back(who);
     return picked;
 }
 
-void Membership::end_probe(const Probe& probe, Micros now) {
+void Membership::finish_probe(const Probe& probe, Micros now) {
     auto& target = at(probe.target);
     suspicions.note_probed(probe.target);
-    if (target.heard >= probe.sent && !probe.passed_on) return;  // whatever came of it, it is there
-    if (probe.passed_on) {
-        // Others hear it. Which direction is cut it tells itself, or it is this one.
-        if (target.heard < probe.sent && reachability.missed(probe.target, now))
-            note_cut(probe.target, number, true, probe.helper, now);
+    if (target.last_heard >= probe.sent_at && !probe.answered_via_helper)
+        return;  // it was heard in the meantime, by whatever datagram
+    if (probe.answered_via_helper) {
+        // The target is alive, as a helper hears it. If none of its datagrams came here, its direction may be
+        // cut; a cut of the other direction is reported by the target.
+        if (target.last_heard < probe.sent_at && reachability.missed(probe.target, now))
+            report_link(probe.target, self_number, true, probe.helper, now);
         return;
     }
-    // Its own want of bytes is nobody's silence.
-    if (!thought_there(probe.target) || probe.starved) return;
-    // Who is known to be cut off from it one way is no witness: others judge. The fact ends by itself after a
-    // minute without a sign of it.
-    if (reachability.cut(number, probe.target) || reachability.cut(probe.target, number)) return;
-    // A helper that says no shows that this router is heard; those that say nothing put itself in doubt.
-    if (probe.noes < probe.helpers || (probe.steps > 1 && probe.helpers == 0)) local_health.degrade();
-    seen.accusations++;
-    accuse(probe.target, number, 0, now);
-    // The accused hears it first, so that it can answer before many have to be told otherwise.
+    // A probe that lacked bytes proves nothing about its target.
+    if (!believed_present(probe.target) || probe.lacked_bytes) return;
+    // Where the link is known to be cut one way, this router can't accuse, and others do. The cut expires
+    // after a minute without a new report of it.
+    if (reachability.cut(self_number, probe.target) || reachability.cut(probe.target, self_number)) return;
+    // A NACK shows that this router is heard; helpers that do not answer lower its local health (Lifeguard).
+    if (probe.nacks < probe.helpers_asked || (probe.steps > 1 && probe.helpers_asked == 0))
+        local_health.degrade();
+    totals.accusations++;
+    accuse(probe.target, self_number, 0, now);
+    // The accused is told first, so that it can refute before the accusation has spread to many.
     Message news;
     news.kind = Kind::News;
     send(probe.target, news, SendPriority::Answer, now);
 }
 
-// What is doubtful is asked again beside the probe_schedule: pairs that seem cut one way, whom this router
-// may not judge before it has asked, and whom it has accused itself: each ping tells the accused what there
-// is to answer.
-void Membership::look_again(Micros now) {
-    int asked = 0;
-    auto again = [&](Number who) {
+// Probes doubtful routers in addition to the schedule: those whose link seems cut one way, those that have to
+// be probed before a verdict, and those that this router has accused, as each ping tells the accused what it
+// has to refute.
+void Membership::reprobe_doubtful(Micros now) {
+    int probed = 0;
+    auto reprobe = [&](Number who) {
         bool under_way = std::any_of(probes.begin(), probes.end(), [&](auto& p) { return p.target == who; });
-        if (asked >= most_again || under_way) return;
-        asked++;
-        probe(who, now);
+        if (probed >= max_reprobes || under_way) return;
+        probed++;
+        start_probe(who, now);
     };
     for (auto& [who, one] : suspicions.all())
-        if (one.probe_before_verdict || std::count(one.accusers.begin(), one.accusers.end(), number))
-            again(who);
-    for (Number step = 0; step < routers() && asked < most_again; step++) {
-        auto who = (number + 1 + step) % routers();
-        if (who != number && reachability.doubtful(who)) again(who);
+        if (one.probe_before_verdict || std::count(one.accusers.begin(), one.accusers.end(), self_number))
+            reprobe(who);
+    for (Number step = 0; step < routers() && probed < max_reprobes; step++) {
+        auto who = (self_number + 1 + step) % routers();
+        if (who != self_number && reachability.doubtful(who)) reprobe(who);
     }
 }
 
-// What the asking one holds and is out of date.
+// The accounts in the ping that are out of date, as they are known here.
 std::vector<Account> Membership::corrections_to(const Message& ping) const {
     std::vector<Account> corrections;
     for (auto& account : ping.accounts) {
         auto& known = at(account.who).member_state;
-        bool differs = account.who != number && !(known == account.member_state);
-        if (differs && corrections.size() < most_corrections) corrections.push_back({account.who, known});
+        bool differs = account.who != self_number && !(known == account.member_state);
+        if (differs && corrections.size() < max_corrections) corrections.push_back({account.who, known});
     }
     return corrections;
 }
 
 void Membership::answer_ping(const Message& ping, Micros now) {
-    Message heard;
-    heard.kind = Kind::Heard;
-    heard.probe = ping.probe;
-    if (ping.about < 0 || ping.about == number) {
-        send(ping.from, heard, SendPriority::Answer, now, corrections_to(ping));
+    Message answer;
+    answer.kind = Kind::Heard;
+    answer.probe = ping.probe;
+    if (ping.about < 0 || ping.about == self_number) {
+        send(ping.from, answer, SendPriority::Answer, now, corrections_to(ping));
         return;
     }
-    // For somebody whose own ping should have come as well. Back through the helper, and straight: so both
-    // ends learn which directions are whole.
-    heard.about = ping.about;
-    heard.direct = at(ping.about).heard > now - settings.probe_period * 4;
-    send(ping.from, heard, SendPriority::Answer, now);
-    if (!heard.direct && reachability.missed(ping.about, now))
-        note_cut(ping.about, number, true, ping.from, now);
-    heard.about = -1;
-    send(ping.about, heard, SendPriority::Answer, now);
+    // An indirect probe, whose requester has pinged this router directly as well. The answer goes back
+    // through the helper and directly, so that both ends learn which directions of their link work.
+    answer.about = ping.about;
+    answer.direct = at(ping.about).last_heard > now - settings.probe_period * 4;
+    send(ping.from, answer, SendPriority::Answer, now);
+    if (!answer.direct && reachability.missed(ping.about, now))
+        report_link(ping.about, self_number, true, ping.from, now);
+    answer.about = -1;
+    send(ping.about, answer, SendPriority::Answer, now);
 }
 
-void Membership::answered(const Message& heard, Micros now) {
-    if (heard.about >= 0 && heard.about != number) return pass_answer_on(heard, now);
+void Membership::handle_answer(const Message& answer, Micros now) {
+    if (answer.about >= 0 && answer.about != self_number) return relay_answer(answer, now);
     for (std::size_t i = 0; i < probes.size(); i++) {
         auto& probe = probes[i];
-        if (probe.number != heard.probe) continue;
-        if (heard.from == probe.target) {
-            round_trips.measured(now - probe.sent, now);
+        if (probe.id != answer.probe) continue;
+        if (answer.from == probe.target) {
+            round_trips.measured(now - probe.sent_at, now);
             if (probe.steps == 0) local_health.improve();
-            if (probe.steps > 1 && probe.noes < probe.helpers) local_health.degrade();
+            if (probe.steps > 1 && probe.nacks < probe.helpers_asked) local_health.degrade();
             suspicions.note_probed(probe.target);
             probes.erase(probes.begin() + static_cast<std::ptrdiff_t>(i));
         } else {
-            probe.passed_on = true;
-            probe.helper = heard.from;
+            probe.answered_via_helper = true;
+            probe.helper = answer.from;
         }
         return;
     }
 }
 
-void Membership::pass_answer_on(const Message& heard, Micros now) {
+void Membership::relay_answer(const Message& answer, Micros now) {
     for (auto& one : indirect_probes) {
-        if (one.number != heard.probe || one.target != heard.from || one.asker != heard.about) continue;
-        Message passed;
-        passed.kind = Kind::Heard;
-        passed.probe = heard.probe;
-        passed.about = heard.about;
-        passed.direct = heard.direct;
-        send(one.asker, passed, SendPriority::IndirectProbe, now);
-        one.end = now;
-        one.said_no = true;
+        if (one.id != answer.probe || one.target != answer.from || one.requester != answer.about) continue;
+        Message relayed;
+        relayed.kind = Kind::Heard;
+        relayed.probe = answer.probe;
+        relayed.about = answer.about;
+        relayed.direct = answer.direct;
+        send(one.requester, relayed, SendPriority::IndirectProbe, now);
+        one.ends_at = now;
+        one.settled = true;
         return;
     }
 }
 
-void Membership::probe_for_another(const Message& ask, Micros now) {
-    if (ask.about == number || ask.about == ask.from || indirect_probes.size() >= most_indirect_probes)
+void Membership::start_indirect_probe(const Message& request, Micros now) {
+    if (request.about == self_number || request.about == request.from ||
+        indirect_probes.size() >= max_indirect_probes)
         return;
     Message ping;
     ping.kind = Kind::Ping;
-    ping.probe = ask.probe;
-    ping.about = ask.from;
-    if (!send(ask.about, ping, SendPriority::IndirectProbe, now)) return;
-    indirect_probes.push_back(
-        {ask.probe, ask.from, ask.about, now + settings.probe_period / 6, now + settings.probe_period * 4});
+    ping.probe = request.probe;
+    ping.about = request.from;
+    if (!send(request.about, ping, SendPriority::IndirectProbe, now)) return;
+    indirect_probes.push_back({request.probe, request.from, request.about, now + settings.probe_period / 6,
+                               now + settings.probe_period * 4});
 }
 
-void Membership::say_no_to_askers(Micros now) {
+void Membership::send_due_nacks(Micros now) {
     for (auto& one : indirect_probes) {
-        if (one.said_no || now < one.say_no_at) continue;
-        Message no;
-        no.kind = Kind::No;
-        no.probe = one.number;
-        no.about = one.target;
-        send(one.asker, no, SendPriority::IndirectProbe, now);
-        one.said_no = true;
+        if (one.settled || now < one.nack_at) continue;
+        Message nack;
+        nack.kind = Kind::No;
+        nack.probe = one.id;
+        nack.about = one.target;
+        send(one.requester, nack, SendPriority::IndirectProbe, now);
+        one.settled = true;
     }
-    std::erase_if(indirect_probes, [&](auto& one) { return now >= one.end; });
+    std::erase_if(indirect_probes, [&](auto& one) { return now >= one.ends_at; });
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -1,5 +1,5 @@
-// The part of a Membership that fills and sends datagrams: news in the room that a message leaves, the
-// payload of the piggyback, and the byte budget that all of them share by priority.
+// The part of a Membership that fills and sends datagrams: gossip in the room that a message leaves, the
+// payload of the piggyback, and the byte budget that all datagrams share by priority.
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -10,21 +10,22 @@
 
 namespace {
 
-constexpr std::size_t most_forced = 3;  // accounts that are told whatever they cost
+constexpr std::size_t max_forced = 3;  // accounts that are sent even where the byte budget is short
 constexpr double unbounded = std::numeric_limits<double>::max();
-constexpr std::size_t least_payload = 12, payload_tag = 4;  // bytes worth loading; field, length
-constexpr double own_datagram = 110;          // bytes that one for the passenger's sake needs at least
-constexpr std::size_t accusation_bytes = 40;  // of what is held against the receiver, with its account
+constexpr std::size_t min_payload = 12,
+                      payload_tag = 4;          // bytes: the least worth loading; field number and length
+constexpr double min_piggyback_datagram = 110;  // bytes that a datagram for the payload alone needs at least
+constexpr std::size_t accusation_bytes = 40;    // of an accusation of the receiver, with its account
 
-// Rough sizes of what a datagram tells, so that few are taken off again.
-constexpr std::size_t account_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tags = 18;
+// Estimated sizes of the entries in a datagram, so that few have to be removed again after encoding.
+constexpr std::size_t account_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tag_bytes = 18;
 
-std::size_t news_bytes(const Message& message) {
-    return tags + message.accounts.size() * account_bytes + message.accusations.size() * accuser_bytes +
+std::size_t entry_bytes(const Message& message) {
+    return tag_bytes + message.accounts.size() * account_bytes + message.accusations.size() * accuser_bytes +
            message.link_reports.size() * link_report_bytes;
 }
 
-// What was not told after all is dropped, the last first, until the datagram is short enough.
+// Removes entries, the last first, until the datagram is short enough.
 std::string encode_within_limit(Message& message) {
     auto bytes = encode(message);
     while (bytes.size() > longest) {
@@ -45,40 +46,42 @@
 
 }  // namespace
 
-// What a kind of datagram leaves to more needful ones, in seconds of the byte_budget.
-double Membership::kept_back(SendPriority need) {
-    switch (need) {
+// The part of the byte budget that datagrams of this priority leave to those of higher ones, in seconds of
+// its rate.
+double Membership::reserve_seconds(SendPriority priority) {
+    switch (priority) {
         case SendPriority::Probe:
             return 0;
         case SendPriority::Answer:
-        case SendPriority::Insist:
+        case SendPriority::ProbeRetry:
             return 0.1;
         case SendPriority::IndirectProbe:
             return 0.15;
-        case SendPriority::News:
+        case SendPriority::Gossip:
             return 0.25;
-        case SendPriority::Spare:
+        case SendPriority::Background:
             break;
     }
     return 0.7;
 }
 
-void Membership::spread(Number who, bool urgent) {
+void Membership::enqueue_gossip(Number who, bool urgent) {
     gossip.enqueue(who, urgent);
-    fresh |= urgent;
+    urgent_gossip_pending |= urgent;
 }
 
-// Urgent news do not wait for the next probe while there are bytes to spare: told to three at once by each
-// that hears it for the first time, it reaches nine in ten within some delays of the network; the probes do
-// the rest.
-void Membership::pass_on(Micros now) {
-    if (!std::exchange(fresh, false) || leaves_gossip_to_others()) return;
-    if (bytes_left(now) > settings.bytes_per_s * kept_back(SendPriority::Spare)) tell_some(3, now);
+// Urgent updates do not wait for the next probe while there are bytes to spare. Each router that learns of
+// one for the first time sends it to three others at once, so it reaches nine in ten within a few network
+// delays. The probes spread it to the rest.
+void Membership::send_urgent_gossip(Micros now) {
+    if (!std::exchange(urgent_gossip_pending, false) || suppresses_gossip()) return;
+    if (available_bytes(now) > settings.bytes_per_s * reserve_seconds(SendPriority::Background))
+        send_gossip(3, now);
 }
 
-// Word to some at once that would else wait for the next probe.
-void Membership::tell_some(std::size_t many, Micros now) {
-    for (auto who : pick(many, -1)) {
+// Sends gossip at once that would otherwise wait for the next probe.
+void Membership::send_gossip(std::size_t receivers, Micros now) {
+    for (auto who : pick_peers(receivers, -1)) {
         Message news;
         news.kind = Kind::News;
         send(who, news, SendPriority::Answer, now);
@@ -87,44 +90,47 @@
 
 bool Membership::send(Number to, Message message, SendPriority priority, Micros now,
                       const std::vector<Account>& first, bool for_piggyback) {
-    auto left = bytes_left(now) / settings.bytes_per_s;
-    // Guards against probes that use up all bytes where nobody is heard, so that others never hear what this
-    // router alone was told.
-    auto saved_up = piggyback_waits && !for_piggyback && priority >= SendPriority::Insist
-                        ? own_datagram / settings.bytes_per_s
-                        : 0;
-    if (to == number || left <= kept_back(priority) + saved_up) {
-        seen.withheld++;
+    auto left = available_bytes(now) / settings.bytes_per_s;
+    // Guards against probes that use up all bytes while no router is heard, so that urgent payload which only
+    // this router has would never be sent.
+    auto payload_reserve = reserves_for_piggyback && !for_piggyback && priority >= SendPriority::ProbeRetry
+                               ? min_piggyback_datagram / settings.bytes_per_s
+                               : 0;
+    if (to == self_number || left <= reserve_seconds(priority) + payload_reserve) {
+        totals.withheld++;
         return false;
     }
-    message.from = number;
-    message.self = me;
+    message.from = self_number;
+    message.self = self_state;
     message.zone = zone;
-    add_news(to, message, first, left, now);
+    add_updates(to, message, first, left, now);
     auto bytes = encode_within_limit(message);
     if (piggyback) {
-        auto keep = piggyback_waits ? 0 : kept_back(for_piggyback ? priority : SendPriority::News);
-        load_payload(to, message, bytes, (left - keep) * settings.bytes_per_s, now);
+        auto reserve =
+            reserves_for_piggyback ? 0 : reserve_seconds(for_piggyback ? priority : SendPriority::Gossip);
+        add_payload(to, message, bytes, (left - reserve) * settings.bytes_per_s, now);
     }
-    spend(bytes.size());
-    hand_out(to, std::move(bytes), now);
+    spend_bytes(bytes.size());
+    enqueue_outgoing(to, std::move(bytes), now);
     return true;
 }
 
-// What is left of the datagram carries news: first what is held against the receiver, so that it can answer.
-void Membership::add_news(Number to, Message& message, const std::vector<Account>& first, double left,
-                          Micros now) {
+// Fills the rest of the datagram: first an accusation of the receiver, so that it can refute it; then
+// `first`, or gossip if that is empty.
+void Membership::add_updates(Number to, Message& message, const std::vector<Account>& first, double left,
+                             Micros now) {
     auto base = encode(message).size();
-    // A third of what is saved goes into one datagram.
-    auto spare_bytes = std::max(0.0, (left - kept_back(SendPriority::News)) * settings.bytes_per_s / 3);
-    auto room = std::min(static_cast<double>(longest) - static_cast<double>(base), spare_bytes);
+    // One datagram may use a third of the saved bytes.
+    auto allowance = std::max(0.0, (left - reserve_seconds(SendPriority::Gossip)) * settings.bytes_per_s / 3);
+    auto room = std::min(static_cast<double>(longest) - static_cast<double>(base), allowance);
     if (base + accusation_bytes <= longest) add_accusation_of_receiver(to, message, now);
-    bool forced = !first.empty() && first.size() <= most_forced;
+    bool forced = !first.empty() && first.size() <= max_forced;
     for (auto& one : first) add_account(one.who, message, forced ? unbounded : room, now);
-    if (first.empty() && !leaves_gossip_to_others()) add_gossip(message, room, now);
+    if (first.empty() && !suppresses_gossip()) add_gossip(message, room, now);
 }
 
-// Guards against a router that never hears what it is accused of: this comes whatever it costs.
+// Guards against a router that never learns of the accusation: it is added even where the byte budget is
+// short.
 void Membership::add_accusation_of_receiver(Number to, Message& message, Micros now) {
     auto& member_state = at(to).member_state;
     if (member_state.life == 0 || member_state.verdict == Verdict::Alive) return;
@@ -135,7 +141,7 @@
 }
 
 void Membership::add_gossip(Message& message, double room, Micros now) {
-    auto spare = room - tags;
+    auto spare = room - tag_bytes;
     if (spare <= link_report_bytes) return;
     if (message.kind != Kind::Digest && message.link_reports.empty())
         message.link_reports = reachability.to_tell(
@@ -147,14 +153,15 @@
         if (!add_account(who, message, room, now)) gossip.put_back(who);
 }
 
-// With who accuses it, where it is suspected. False where `room` has no bytes for it.
+// Adds the account, with its accusers if it is suspected. Returns false where it does not fit into `room`
+// bytes.
 bool Membership::add_account(Number who, Message& message, double room, Micros now) const {
     auto& member_state = at(who).member_state;
-    if (member_state.life == 0 || who == number) return true;
-    bool there = std::any_of(message.accounts.begin(), message.accounts.end(),
-                             [&](auto& one) { return one.who == who; });
-    if (there) return true;
-    if (static_cast<double>(news_bytes(message) + account_bytes) > room) return false;
+    if (member_state.life == 0 || who == self_number) return true;
+    bool present = std::any_of(message.accounts.begin(), message.accounts.end(),
+                               [&](auto& one) { return one.who == who; });
+    if (present) return true;
+    if (static_cast<double>(entry_bytes(message) + account_bytes) > room) return false;
     message.accounts.push_back({who, member_state});
     auto* suspicion = suspicions.find(who);
     if (member_state.verdict != Verdict::Suspected || !suspicion) return true;
@@ -163,63 +170,67 @@
     return true;
 }
 
-// At most `bytes_free` of payload, where that is enough to be worth a load. `bytes`: the message so far.
-void Membership::load_payload(Number to, Message& message, std::string& bytes, double bytes_free,
-                              Micros now) {
-    if (bytes.size() + payload_tag + least_payload > longest) return;
+// Adds at most `bytes_free` bytes of payload, where that is enough to be worth loading. `bytes`: the encoded
+// message, which is encoded anew if payload is added.
+void Membership::add_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now) {
+    if (bytes.size() + payload_tag + min_payload > longest) return;
     auto spare = std::max(0.0, bytes_free - static_cast<double>(bytes.size()));
     auto free = std::min(longest - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
-    if (free >= least_payload) message.payload = piggyback->load(to, free, now);
+    if (free >= min_payload) message.payload = piggyback->load(to, free, now);
     if (message.payload.size() > free) message.payload.clear();
-    seen.piggyback_bytes += message.payload.size();
+    totals.piggyback_bytes += message.payload.size();
     if (!message.payload.empty()) bytes = encode(message);
 }
 
-void Membership::hand_out(Number to, std::string bytes, Micros now) {
-    seen.sent++;
-    seen.bytes_sent += bytes.size();
+void Membership::enqueue_outgoing(Number to, std::string bytes, Micros now) {
+    totals.sent++;
+    totals.bytes_sent += bytes.size();
     if (transfer) transfer->count(bytes.size(), now);
-    out.push_back({to, std::move(bytes)});
+    outgoing.push_back({to, std::move(bytes)});
 }
 
 bool Membership::send_piggyback(Number to, bool urgent, Micros now) {
     Message news;
     news.kind = Kind::News;
-    auto need = urgent ? SendPriority::IndirectProbe : SendPriority::Spare;
-    // Guards against datagrams that have no room for what they are sent for.
-    bool enough = bytes_left(now) - kept_back(need) * settings.bytes_per_s >= own_datagram;
+    auto priority = urgent ? SendPriority::IndirectProbe : SendPriority::Background;
+    // Guards against datagrams that have no room for the payload they are sent for.
+    bool enough =
+        available_bytes(now) - reserve_seconds(priority) * settings.bytes_per_s >= min_piggyback_datagram;
     if (!enough) return false;
-    return send(to, news, need, now, {}, true);
+    return send(to, news, priority, now, {}, true);
 }
 
 bool Membership::send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now) {
-    auto to = pick(most, -1, in_zone);
-    // Who hears nobody may still be heard: it speaks to those that were there last.
+    auto to = pick_peers(most, -1, in_zone);
+    // A router that hears no other may still be heard: it sends to those that were alive last.
     for (Number step = 1; to.empty() && step < routers(); step++) {
         auto who =
-            (number + static_cast<Number>(chance() % static_cast<unsigned>(routers())) + step) % routers();
+            (self_number + static_cast<Number>(generator() % static_cast<unsigned>(routers())) + step) %
+            routers();
         auto state = at(who).state;
-        if (who != number && (state == State::Silent || state == State::Suspected || state == State::Dead))
+        if (who != self_number &&
+            (state == State::Silent || state == State::Suspected || state == State::Dead))
             to.push_back(who);
     }
     bool sent = false;
     for (auto who : to) sent |= send_piggyback(who, urgent, now);
-    piggyback_waits = urgent && !sent;
+    reserves_for_piggyback = urgent && !sent;
     return sent;
 }
 
-double Membership::bytes_left(Micros now) {
+double Membership::available_bytes(Micros now) {
     auto own = byte_budget.available(now);
     return page_server ? std::min(own, page_server->available(now)) : own;
 }
 
-void Membership::spend(std::size_t bytes) {
+void Membership::spend_bytes(std::size_t bytes) {
     byte_budget.spend(bytes);
     if (page_server) page_server->spend_own(bytes);
 }
 
 double Membership::spare_bytes(Micros now) {
-    return std::max(0.0, bytes_left(now) - kept_back(SendPriority::Spare) * settings.bytes_per_s);
+    return std::max(0.0,
+                    available_bytes(now) - reserve_seconds(SendPriority::Background) * settings.bytes_per_s);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -1,5 +1,5 @@
-// The part of a Membership that judges: accusations, verdicts, and the state of each member as the router
-// sees it, with the changes of it that are told.
+// The part of a Membership that handles accusations and verdicts, and derives the state of each member from
+// what is known of it, with the changes that are reported to the caller.
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
 #include <utility>
@@ -10,97 +10,99 @@
 
 namespace {
 
-// How many routers ping an accused one shortly before the verdict, on average: each draws for itself. Two
-// seconds of the default byte budget leave 75 bytes for each of eight answers, and the chance that nobody
-// pings is below 1 / e^8, one verdict in some 3,000.
+// How many routers, on average, ping an accused router shortly before the verdict; each draws at random
+// whether it does. Two seconds of the default byte budget give the accused 75 bytes for each of eight
+// answers. The probability that no router pings it is below 1 / e^8, one verdict in some 3,000.
 constexpr int expected_last_pings = 8;
-// How many others are told what is held against an accused router before the verdict, where it is pinged too
-// and where it is not: three datagrams either way.
-constexpr std::size_t witnesses_beside_accused = 2, witnesses_alone = 3;
+// How many other routers a last call pings about the accused: with the accused itself, and without it. Three
+// datagrams either way.
+constexpr std::size_t witnesses_with_accused = 2, witnesses_without_accused = 3;
 
 }  // namespace
 
 void Membership::accuse(Number who, Number accuser, Micros age, Micros now) {
     auto& member = at(who);
     auto& member_state = member.member_state;
-    if (who == number || member_state.life == 0 || member_state.phase == Phase::Gone ||
+    if (who == self_number || member_state.life == 0 || member_state.phase == Phase::Gone ||
         member_state.verdict == Verdict::Dead)
         return;
     member_state.verdict = Verdict::Suspected;
-    // Who is known to be cut off from it on one way is no second witness.
+    // A router whose link to the accused is known to be cut in one direction does not count as an accuser.
     if (accuser >= 0 && (reachability.cut(accuser, who) || reachability.cut(who, accuser))) accuser = -1;
-    if (suspicions.accuse(who, accuser, age, now)) spread(who, true);
-    note(who, accuser, now);
+    if (suspicions.accuse(who, accuser, age, now)) enqueue_gossip(who, true);
+    update_state(who, accuser, now);
 }
 
-void Membership::judge(Micros now) {
+void Membership::check_suspicions(Micros now) {
     std::vector<Number> due, last_calls;
     for (auto& [who, one] : suspicions.all()) {
-        if (!one.probe_before_verdict && now >= suspicions.verdict_at(one, at(who).heard)) due.push_back(who);
-        if (suspicions.wants_last_call(one, at(who).heard, now)) last_calls.push_back(who);
+        if (!one.probe_before_verdict && now >= suspicions.verdict_at(one, at(who).last_heard))
+            due.push_back(who);
+        if (suspicions.wants_last_call(one, at(who).last_heard, now)) last_calls.push_back(who);
     }
-    // One that can't be made yet for want of bytes is tried again at the next pass.
+    // A last call that lacks bytes is tried again at the next tick.
     for (auto who : last_calls)
-        if (make_last_call(who, now)) suspicions.note_last_call(who, now);
+        if (send_last_call(who, now)) suspicions.note_last_call(who, now);
     for (auto who : due) {
         suspicions.remove(who);
         if (at(who).member_state.verdict != Verdict::Suspected) continue;
         at(who).member_state.verdict = Verdict::Dead;
-        spread(who, true);
-        note(who, -1, now);
+        enqueue_gossip(who, true);
+        update_state(who, -1, now);
     }
 }
 
-// Guards against a verdict by a router that alone has missed the answer to the accusation: it asks the
-// accused once more, or one more of the others, and tells them what it holds, who put it right if they know
-// better. False where nothing could be sent.
-bool Membership::make_last_call(Number who, Micros now) {
-    if (bytes_left(now) <= settings.bytes_per_s * kept_back(SendPriority::Answer)) return false;
+// Pings the accused once more, or another router in its place, and some other routers with the accusation,
+// which they correct if they know of a refutation. Guards against a false verdict by a router that alone has
+// missed the refutation. Returns false where nothing could be sent.
+bool Membership::send_last_call(Number who, Micros now) {
+    if (available_bytes(now) <= settings.bytes_per_s * reserve_seconds(SendPriority::Answer)) return false;
     Message ping;
     ping.kind = Kind::Ping;
-    bool asks = asks_accused();
-    bool sent = asks && send(who, ping, SendPriority::Answer, now);
-    for (auto other : pick(asks ? witnesses_beside_accused : witnesses_alone, who))
+    bool pings_accused = chosen_to_ping_accused();
+    bool sent = pings_accused && send(who, ping, SendPriority::Answer, now);
+    for (auto other : pick_peers(pings_accused ? witnesses_with_accused : witnesses_without_accused, who))
         sent |= send(other, ping, SendPriority::Answer, now, {{who, at(who).member_state}});
     return sent;
 }
 
-// Guards against an accused router that all others ping at the same moment: it can answer a small part of
-// them. Those that don't ping it ask one more witness. With few routers all ping it, as there are no more.
-bool Membership::asks_accused() {
+// Guards against all others pinging the accused at the same moment, when its byte budget lets it answer only
+// a few. With few routers, all of them ping it.
+bool Membership::chosen_to_ping_accused() {
     if (routers() <= expected_last_pings) return true;
     boost::random::uniform_int_distribution<int> draw(0, routers() - 1);
-    return draw(chance) < expected_last_pings;
+    return draw(generator) < expected_last_pings;
 }
 
-State Membership::worked_out(Number who) const {
+State Membership::derived_state(Number who) const {
     auto& s = at(who).member_state;
     if (s.life == 0) return State::Unknown;
     if (s.phase == Phase::Gone) return State::Gone;
     if (s.verdict == Verdict::Dead) return State::Dead;
     if (s.phase == Phase::Leaving) return State::Leaving;
     if (s.verdict == Verdict::Suspected) return State::Suspected;
-    return reachability.cut(who, number) ? State::Silent : State::Alive;
+    return reachability.cut(who, self_number) ? State::Silent : State::Alive;
 }
 
-void Membership::note(Number who, Number by, Micros now) {
+void Membership::update_state(Number who, Number by, Micros now) {
     auto& member = at(who);
-    auto after = worked_out(who);
-    if (after == member.state || who == number) return;
+    auto after = derived_state(who);
+    if (after == member.state || who == self_number) return;
     auto before = std::exchange(member.state, after);
     member.since = now;
-    // Nobody who does not fetch the changes makes this grow.
-    if (changed.size() < most_changes) changed.push_back({who, before, after, now, member.member_state, by});
+    // Bounded, as the caller may never take the changes.
+    if (state_changes.size() < max_kept_changes)
+        state_changes.push_back({who, before, after, now, member.member_state, by});
 }
 
-void Membership::note_cut(Number speaker, Number listener, bool cut, Number by, Micros now) {
-    if (cut_news.size() < most_changes) cut_news.push_back({speaker, listener, 0, cut});
-    note(speaker, by, now);
+void Membership::report_link(Number speaker, Number listener, bool cut, Number by, Micros now) {
+    if (new_link_reports.size() < max_kept_changes) new_link_reports.push_back({speaker, listener, 0, cut});
+    update_state(speaker, by, now);
 }
 
-// A cut that ends without a datagram leaves the same trace as one that a datagram ends.
-void Membership::note_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now) {
-    for (auto& report : ended_cuts) note_cut(report.speaker, report.listener, false, by, now);
+// Reports cuts that ended without a datagram of the speaker in the same way as those that a datagram ended.
+void Membership::report_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now) {
+    for (auto& report : ended_cuts) report_link(report.speaker, report.listener, false, by, now);
 }
 
 }  // namespace quillgrade::peers
