--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::size_t max_forced = 3;  // accounts that are sent even where the byte budget is short
 constexpr double unbounded = std::numeric_limits<double>::max();
-constexpr std::size_t min_payload = 12,
-                      payload_tag = 4;          // bytes: the least worth loading; field number and length
+// Bytes of the least payload worth loading, and of a payload's field number and length.
+constexpr std::size_t min_payload = 12, payload_tag = 4;
 constexpr double min_piggyback_datagram = 110;  // bytes that a datagram for the payload alone needs at least
 constexpr std::size_t accusation_bytes = 40;    // of an accusation of the receiver, with its account
 
--- a/tests/cut_expiry_test.cpp
+++ b/tests/cut_expiry_test.cpp
@@ -1,4 +1,4 @@
-// Cuts that end without a datagram of the speaker: by time, or by the new life of one of the pair.
+// One-sided cuts that end without a datagram of the speaker: by expiry, or by a new life of one of the pair.
 #include <doctest/doctest.h>
 
 #include "peers/membership.hpp"
@@ -23,8 +23,8 @@
     return encode(message);
 }
 
-// Router 0, which has missed what `silent` sent it, as the helper's pings on its behalf show.
-Membership with_a_silent_router() {
+// Router 0, which has received none of the pings of router `silent`, as indirect probes by the helper show.
+Membership membership_with_silent_router() {
     MembershipConfig start;
     start.routers = 4;
     start.life = 1000;
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-TEST_CASE("a member is silent no longer when its cut expires") {
-    auto membership = with_a_silent_router();
+TEST_CASE("a silent member is alive again when its cut expires") {
+    auto membership = membership_with_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
     membership.take_link_reports();
     membership.take_state_changes();
@@ -57,8 +57,8 @@
     CHECK(!reports[0].cut);
 }
 
-TEST_CASE("the end of a cut is told when a new life of the speaker ends it") {
-    auto membership = with_a_silent_router();
+TEST_CASE("the end of a cut is reported when a new life of the speaker ends it") {
+    auto membership = membership_with_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
     membership.take_link_reports();
     membership.receive(helper, datagram_of_helper(Kind::News, -1, 600), noon_at + second / 10);
@@ -69,7 +69,7 @@
     CHECK(!reports[0].cut);
 }
 
-TEST_CASE("a cut that there is no room for is not told as one") {
+TEST_CASE("a cut beyond the capacity is not reported") {
     constexpr Number most_cuts = 64;
     Reachability reachability(0);
     for (Number speaker = 1; speaker <= most_cuts; speaker++)
@@ -78,7 +78,7 @@
     CHECK(!reachability.cut(200, 0));
 }
 
-TEST_CASE("who misses something is asked again only while there is room to say so") {
+TEST_CASE("a link with misses is doubtful only while there is capacity for its cut") {
     constexpr Number most_cuts = 64, missing = 200;
     Reachability reachability(0);
     for (Number speaker = 1; speaker < most_cuts; speaker++)
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -1,5 +1,5 @@
-// How all routers come to know that a one-sided cut has ended: gossip tells it a bounded number of times, and
-// digests mend what gossip has missed.
+// How all routers learn that a one-sided cut has ended: gossip repeats it a bounded number of times, and the
+// answers to digests repair what gossip has missed.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     return encode(message);
 }
 
-Membership router_of_four() {
+Membership membership_of_four() {
     MembershipConfig start;
     start.routers = 4;
     start.life = 1000;
@@ -38,19 +38,19 @@
                        [&](auto& cut) { return cut.speaker == from && cut.listener == to; });
 }
 
-// How many of the reports that `membership` sends now tell the end of the cut.
-int ends_told(Membership& membership) {
-    int told = 0;
+// How many of the link reports that `membership` sends now report the end of the cut.
+int ends_reported(Membership& membership) {
+    int reported = 0;
     for (auto& sent : membership.take_outgoing()) {
         auto decoded = decode(sent.bytes, 4, noon_at);
         REQUIRE(decoded.message.has_value());
         for (auto& report : decoded.message->link_reports)
-            told += !report.cut && report.speaker == speaker && report.listener == listener;
+            reported += !report.cut && report.speaker == speaker && report.listener == listener;
     }
-    return told;
+    return reported;
 }
 
-// How long after its end a cut from 2 to 6 was held by any of eight routers; at most `limit`.
+// How long after its end a cut from 2 to 6 is held by any of eight routers, measured up to `limit`.
 Micros time_until_forgotten(std::uint64_t seed, Micros limit) {
     constexpr int routers = 8, zones = 2, from = 2, to = 6;
     rig::LinkConditions conditions;
@@ -76,7 +76,8 @@
 
 }  // namespace
 
-// Without the repair by digests 4 of these seeds leave a router that holds the cut for its minute.
+// Without the repair by digests, 4 of these seeds leave a router that holds the cut until it expires after a
+// minute.
 TEST_CASE("all routers learn that a cut has ended, on each of 400 seeds") {
     constexpr int seeds = 400;
     constexpr Micros limit = 15 * second;
@@ -84,52 +85,52 @@
         CHECK_MESSAGE(time_until_forgotten(seed, limit) < limit, "seed ", seed);
 }
 
-TEST_CASE("a digest with a cut that has ended is answered with its end, however often that was told") {
-    auto membership = router_of_four();
+TEST_CASE("a digest with a cut that has ended is answered with its end, however often that was gossiped") {
+    auto membership = membership_of_four();
     membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 1, true}), noon_at);
     membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
     REQUIRE(!holds_cut(membership, speaker, listener));
-    // Pings are answered with what is news here until it has been told often enough.
-    int told = 0;
+    // Answers to pings gossip the end until it has been repeated often enough.
+    int reported = 0;
     for (int i = 0; i < 20; i++) {
         auto now = noon_at + second * (i + 1);
         membership.receive(other, datagram(other, Kind::Ping, {speaker, listener, 1, true}), now);
-        told = ends_told(membership);
+        reported = ends_reported(membership);
     }
-    REQUIRE(told == 0);
+    REQUIRE(reported == 0);
     membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}),
                        noon_at + 21 * second);
-    CHECK(ends_told(membership) == 1);
+    CHECK(ends_reported(membership) == 1);
 }
 
-TEST_CASE("a cut that is known here as told by a digest, or told anew since its end, is not answered") {
-    auto membership = router_of_four();
+TEST_CASE("a digest with a cut that began again since its end is not answered") {
+    auto membership = membership_of_four();
     membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 2, false}), noon_at);
     membership.receive(listener, datagram(listener, Kind::News, {speaker, listener, 3, true}), noon_at);
     membership.take_outgoing();
     membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 3, true}), noon_at + second);
-    CHECK(ends_told(membership) == 0);
+    CHECK(ends_reported(membership) == 0);
     CHECK(holds_cut(membership, speaker, listener));
 }
 
-// Else two routers could tell each other of it for good after its listener has gone.
-TEST_CASE("a cut is not taken over from a digest") {
-    auto membership = router_of_four();
+// Otherwise two routers could keep a cut alive in each other for good after its listener has gone.
+TEST_CASE("a cut is not adopted from a digest") {
+    auto membership = membership_of_four();
     membership.receive(other, datagram(other, Kind::Digest, {speaker, listener, 1, true}), noon_at);
     CHECK(!holds_cut(membership, speaker, listener));
     membership.receive(other, datagram(other, Kind::News, {speaker, listener, 1, true}), noon_at);
     CHECK(holds_cut(membership, speaker, listener));
 }
 
-TEST_CASE("digests tell all cuts in turn") {
+TEST_CASE("successive digests report all cuts in turn") {
     constexpr Number cuts = 20;
-    constexpr std::size_t a_digest = 6;
+    constexpr std::size_t reports_per_digest = 6;
     Reachability reachability(0);
     for (Number who = 1; who <= cuts; who++) reachability.told({who, who + 1, 1, true}, life, noon_at);
-    std::vector<Number> told;
+    std::vector<Number> reported;
     for (int i = 0; i < 4; i++)
-        for (auto& report : reachability.next_cuts(a_digest)) told.push_back(report.speaker);
-    std::sort(told.begin(), told.end());
-    told.erase(std::unique(told.begin(), told.end()), told.end());
-    CHECK(told.size() == cuts);
+        for (auto& report : reachability.next_cuts(reports_per_digest)) reported.push_back(report.speaker);
+    std::sort(reported.begin(), reported.end());
+    reported.erase(std::unique(reported.begin(), reported.end()), reported.end());
+    CHECK(reported.size() == cuts);
 }
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -1,6 +1,7 @@
-// Many routers in simulated time, once as they are and once with each guard taken out: a scenario that passes
-// has to fail without its guard, else it proves nothing. The modules are built for this with
-// QUILLGRADE_FLAWS.
+// Mutation tests of the membership: scenarios with many routers in simulated time, run with all guards and
+// once with each guard switched off. A scenario has to hold with the guards and to fail without its own, or
+// else it would not show that the guard is needed. The modules are copies of the shipped sources with the
+// switches of seam/hooks.patch, built with QUILLGRADE_FLAWS.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -18,9 +19,9 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms;
 
-// What a run showed, counted by the one who stands outside.
-struct Watch {
-    explicit Watch(Simulated<>& sim) : sim(sim) {
+// Counts the state changes that all routers of a fleet report.
+struct ChangeRecorder {
+    explicit ChangeRecorder(Simulated<>& sim) : sim(sim) {
         sim.on_change = [this](int observer, const StateChange& change) {
             seen.push_back({observer, change, this->sim.now()});
             if (change.after == State::Dead && this->sim.runs(change.who)) false_dead++;
@@ -62,8 +63,8 @@
     sim.run_until(sim.now() + 25 * second);
 }
 
-// A datagram as router `from` would send it.
-std::string telling(Simulated<>& sim, Number from, Account account) {
+// A datagram of router `from` that carries one account.
+std::string news_with(Simulated<>& sim, Number from, Account account) {
     Message message;
     message.from = from;
     message.self = sim.protocol(from)->self();
@@ -72,16 +73,16 @@
     return encode(message);
 }
 
-// ---- scenarios: true where what must hold holds
+// ---- scenarios; each returns whether its property holds
 
-bool restarted_at_once() {
+bool restarts_within_period() {
     Simulated<> sim(8, 2, 3, {}, {0.05, 3 * ms, 24 * ms, 0.02, 0.05});
     settle(sim);
-    auto old = telling(sim, 2, {4, {sim.protocol(4)->self().life, Phase::Here, 90, Verdict::Dead, false}});
+    auto old = news_with(sim, 2, {4, {sim.protocol(4)->self().life, Phase::Here, 90, Verdict::Dead, false}});
     sim.kill(4);
     sim.run_until(sim.now() + 100 * ms);
     sim.start(4);
-    // What was said of the last life is still under way, and comes late.
+    // A report of the last life is delivered late.
     for (int i = 0; i < 8; i++)
         if (i != 4 && i != 2) sim.protocol(i)->receive(2, old, sim.clock(i));
     if (!agree_within(sim, 10 * second)) return false;
@@ -91,20 +92,20 @@
     return life.incarnation < 90;
 }
 
-bool gone_for_good() {
+bool departure_is_final() {
     Simulated<> sim(8, 2, 5);
     settle(sim);
     auto before = sim.protocol(5)->self();
     sim.leave(5);
     sim.run_until(sim.now() + 10 * second);
-    Watch watch(sim);
-    // Somebody who was behind tells of it as alive, with an incarnation beyond its last.
+    ChangeRecorder recorder(sim);
+    // A router with an outdated view reports it alive, with an incarnation above its last.
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1)
             sim.protocol(i)->receive(
                 1,
-                telling(sim, 1,
-                        {5, {before.life, Phase::Here, before.incarnation + 50, Verdict::Alive, false}}),
+                news_with(sim, 1,
+                          {5, {before.life, Phase::Here, before.incarnation + 50, Verdict::Alive, false}}),
                 sim.clock(i));
     sim.run_until(sim.now() + 5 * second);
     for (int i = 0; i < 8; i++)
@@ -112,23 +113,23 @@
     return true;
 }
 
-bool short_pause_answered() {
+bool short_pause_refuted() {
     Simulated<> sim(12, 3, 7, {}, {0.05});
     settle(sim);
-    Watch watch(sim);
+    ChangeRecorder recorder(sim);
     for (int round = 0; round < 5; round++) {
         sim.stop(3);
         sim.run_until(sim.now() + 1'500 * ms);
         sim.go_on(3);
         sim.run_until(sim.now() + 12 * second);
     }
-    return watch.count(State::Dead) == 0 && watch.count(State::Suspected, 3) > 0 && all_agree(sim);
+    return recorder.count(State::Dead) == 0 && recorder.count(State::Suspected, 3) > 0 && all_agree(sim);
 }
 
 bool paused_accuse_nobody() {
     Simulated<> sim(12, 3, 9, {}, {0.05});
     settle(sim);
-    int wrong = 0, accused_by_others = 0;
+    int false_accusations = 0, changes_of_paused = 0;
     for (Micros pause : {300 * ms, 2 * second, 20 * second})
         for (int round = 0; round < 5; round++) {
             for (int who : {1, 4, 7, 10}) sim.stop(who);
@@ -139,46 +140,46 @@
                 bool own = change.by == observer || change.by < 0;
                 if (by_paused && own && (change.after == State::Suspected || change.after == State::Dead) &&
                     sim.now() - woke < second)
-                    wrong++;
-                accused_by_others += paused;
+                    false_accusations++;
+                changes_of_paused += paused;
             };
             for (int who : {1, 4, 7, 10}) sim.go_on(who);
             sim.run_until(sim.now() + 10 * second);
             sim.on_change = nullptr;
         }
-    return wrong == 0 && accused_by_others > 0;
+    return false_accusations == 0 && changes_of_paused > 0;
 }
 
-bool lossy_but_there() {
+bool loss_is_tolerated() {
     Simulated<> sim(30, 3, 11, {}, {0.2, 3 * ms, 24 * ms, 0.01, 0.02});
     settle(sim);
-    Watch watch(sim);
+    ChangeRecorder recorder(sim);
     sim.run_until(sim.now() + 120 * second);
-    return watch.false_dead == 0 && watch.count(State::Suspected) < 400;
+    return recorder.false_dead == 0 && recorder.count(State::Suspected) < 400;
 }
 
-bool one_accuser_is_slow() {
+bool single_accuser_waits_longest() {
     Simulated<> sim(2, 1, 13);
     settle(sim);
-    Watch watch(sim);
+    ChangeRecorder recorder(sim);
     sim.kill(1);
     sim.run_until(sim.now() + 7 * second);
-    if (watch.count(State::Dead, 1) > 0) return false;
+    if (recorder.count(State::Dead, 1) > 0) return false;
     sim.run_until(sim.now() + 4 * second);
-    return watch.count(State::Dead, 1) == 1;
+    return recorder.count(State::Dead, 1) == 1;
 }
 
-bool strangers_unheard() {
+bool unknown_addresses_dropped() {
     Simulated<> sim(5, 1, 15);
     settle(sim);
     auto life = sim.protocol(4)->self().life;
     for (int i = 0; i < 4; i++)
-        sim.protocol(i)->receive(-1, telling(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
+        sim.protocol(i)->receive(-1, news_with(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
                                  sim.clock(i));
     return sim.protocol(0)->state(4) == State::Alive;
 }
 
-bool heals_after_cut() {
+bool heals_after_partition() {
     Simulated<> sim(12, 3, 17);
     settle(sim);
     auto cut = [&](bool yes) {
@@ -186,32 +187,32 @@
             for (int j = 0; j < 12; j++)
                 if ((i % 3 == 0) != (j % 3 == 0)) sim.cut(i, j, yes);
     };
-    Watch watch(sim);
+    ChangeRecorder recorder(sim);
     cut(true);
     sim.run_until(sim.now() + 20 * second);
-    if (watch.count(State::Dead) < 40) return false;  // both sides think so
+    if (recorder.count(State::Dead) < 40) return false;  // each side has declared the other dead
     cut(false);
     return agree_within(sim, 15 * second);
 }
 
-bool one_sided_named() {
+bool one_sided_cut_reported() {
     Simulated<> sim(8, 2, 19, {}, {0.05});
     settle(sim);
-    Watch watch(sim);
+    ChangeRecorder recorder(sim);
     sim.cut(2, 6, true);
     sim.run_until(sim.now() + 30 * second);
-    int know = 0;
+    int aware = 0;
     for (int i = 0; i < 8; i++) {
         auto cuts = sim.protocol(i)->cuts();
-        know += cuts.size() == 1 && cuts[0].speaker == 2 && cuts[0].listener == 6;
+        aware += cuts.size() == 1 && cuts[0].speaker == 2 && cuts[0].listener == 6;
     }
-    bool held = know == 8 && sim.protocol(6)->state(2) == State::Silent && watch.false_dead == 0 &&
-                watch.count(State::Suspected) == 0 && watch.seen.size() == 1;
+    bool held = aware == 8 && sim.protocol(6)->state(2) == State::Silent && recorder.false_dead == 0 &&
+                recorder.count(State::Suspected) == 0 && recorder.seen.size() == 1;
     sim.cut(2, 6, false);
     return held && agree_within(sim, 30 * second);
 }
 
-bool quiet_is_cheap() {
+bool quiet_fleet_sends_little() {
     Simulated<> sim(30, 3, 21);
     settle(sim);
     sim.run_until(sim.now() + 60 * second);
@@ -220,7 +221,7 @@
     return sim.figures(7).bytes_sent - before < std::uint64_t{30} * 170;
 }
 
-bool storm_is_bounded() {
+bool ping_flood_is_bounded() {
     Simulated<> sim(6, 2, 23);
     settle(sim);
     Message ping;
@@ -232,11 +233,11 @@
         sim.protocol(0)->receive(1, encode(ping), sim.clock(0));
         sim.run_until(sim.now() + ms);
     }
-    // Ten seconds, and two seconds' worth at once.
+    // Ten seconds at 300 bytes/s, and a burst of two seconds.
     return sim.figures(0).bytes_sent - before <= std::uint64_t{300} * 12 + longest;
 }
 
-bool asks_before_judging() {
+bool probes_before_verdict() {
     MembershipConfig start;
     start.routers = 4;
     start.now = 1'764'576'000 * second;
@@ -252,14 +253,14 @@
         membership.receive(from, encode(message), now);
     };
     tell(1, {3, {400, Phase::Here, 0, Verdict::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
-    auto judged_at = now + start.settings.shortest_suspicion;
-    while (now < judged_at - 20 * ms) membership.tick(now += 10 * ms);
-    now += 5 * second;  // stopped just before it would have judged
+    auto verdict_due = now + start.settings.shortest_suspicion;
+    while (now < verdict_due - 20 * ms) membership.tick(now += 10 * ms);
+    now += 5 * second;  // paused just before the verdict would be due
     membership.tick(now);
     for (int i = 0; i < 5; i++) membership.tick(now += 10 * ms);
     bool asked = membership.state(3) == State::Suspected;
     for (int i = 0; i < 300; i++) membership.tick(now += 10 * ms);
-    return asked && membership.state(3) == State::Dead;  // it was, and did not answer
+    return asked && membership.state(3) == State::Dead;  // the accused was probed, and did not answer
 }
 
 bool clock_set_back() {
@@ -278,55 +279,61 @@
     std::vector<Flaw> guards;
 };
 const auto scenarios = std::to_array<Scenario>({
-    {"a router started again within a probe period, with old datagrams under way",
-     restarted_at_once,
+    {"a router that restarts within a probe period is alive, despite late datagrams of its last life",
+     restarts_within_period,
      {Flaw::LifeIgnored}},
-    {"a router that has left is never there again in the same life", gone_for_good, {Flaw::PhaseFallsBack}},
-    {"a pause of 1.5 s is answered", short_pause_answered, {Flaw::NoRefutation, Flaw::SuspicionAtOnce}},
-    {"routers that were stopped accuse nobody", paused_accuse_nobody, {Flaw::PauseUnnoticed}},
-    {"a fifth of all datagrams lost", lossy_but_there, {Flaw::NoIndirect}},
-    {"one accuser leaves the longest time to answer", one_accuser_is_slow, {Flaw::ConfirmedByOne}},
-    {"datagrams from elsewhere are not believed", strangers_unheard, {Flaw::AnySource}},
-    {"a zone cut off wholly comes back", heals_after_cut, {Flaw::DeadNotProbed}},
-    {"a one-sided cut is named, and makes nobody flap", one_sided_named, {Flaw::CutsUnheard}},
-    {"nothing new costs little", quiet_is_cheap, {Flaw::NewsForever}},
-    {"a storm of pings does not raise what is sent", storm_is_bounded, {Flaw::NoByteBudget}},
-    {"a router that was stopped asks before it judges", asks_before_judging, {Flaw::AskedNotBefore}},
-    {"a router whose clock was set back at its start is there", clock_set_back, {Flaw::LifeNotRaised}},
-    // Of state transfer; state_transfer_test.cpp plays all of its scenarios on the shipped modules.
-    {"a page never brings back an earlier life",
+    {"a router that has left never returns in the same life", departure_is_final, {Flaw::PhaseFallsBack}},
+    {"a router paused for 1.5 s refutes the suspicion",
+     short_pause_refuted,
+     {Flaw::NoRefutation, Flaw::SuspicionAtOnce}},
+    {"routers that were paused accuse nobody", paused_accuse_nobody, {Flaw::PauseUnnoticed}},
+    {"with a fifth of all datagrams lost, nobody is declared dead", loss_is_tolerated, {Flaw::NoIndirect}},
+    {"a single accuser leaves the longest time to refute",
+     single_accuser_waits_longest,
+     {Flaw::ConfirmedByOne}},
+    {"datagrams from unknown addresses are dropped", unknown_addresses_dropped, {Flaw::AnySource}},
+    {"a partitioned zone rejoins", heals_after_partition, {Flaw::DeadNotProbed}},
+    {"a one-sided cut is reported and causes no suspicion", one_sided_cut_reported, {Flaw::CutsUnheard}},
+    {"a quiet fleet sends little", quiet_fleet_sends_little, {Flaw::NewsForever}},
+    {"a flood of pings does not raise the bytes sent", ping_flood_is_bounded, {Flaw::NoByteBudget}},
+    {"a router that was paused probes before a verdict", probes_before_verdict, {Flaw::AskedNotBefore}},
+    {"a router that restarts with its clock set back is alive", clock_set_back, {Flaw::LifeNotRaised}},
+    // State transfer; state_transfer_test.cpp runs all of its scenarios on the shipped code.
+    {"a page never restores an earlier life",
      transfer_scenarios::older_life_stays_older,
      {Flaw::PageOverwrites}},
-    {"a page gives nobody up who is alive here",
+    {"a page declares no router dead that is alive here",
      transfer_scenarios::page_gives_nobody_up,
      {Flaw::VerdictByPage}},
-    {"two helpers that know different members",
+    {"members known to only one of two helpers are learned",
      transfer_scenarios::helpers_that_differ,
      {Flaw::NewHelperTrusted}},
-    {"a new helper says that it does not know all",
+    {"a new helper reports that it is not complete",
      transfer_scenarios::new_helper_admits_it,
      {Flaw::NewHelperClaimsAll}},
-    {"requests follow the bytes that come",
+    {"requests are paced by the bytes received",
      transfer_scenarios::requests_follow_bytes,
      {Flaw::TransferUnpaced}},
-    {"requests in vain slow down", transfer_scenarios::requests_in_vain_slow_down, {Flaw::NoBackoff}},
-    {"a helper sheds what is beyond its bytes", transfer_scenarios::helper_sheds, {Flaw::HelperNeverSheds}},
-    {"a router that hears nothing gives up asking",
+    {"fruitless requests back off", transfer_scenarios::requests_in_vain_slow_down, {Flaw::NoBackoff}},
+    {"a helper sheds requests beyond its byte budget",
+     transfer_scenarios::helper_sheds,
+     {Flaw::HelperNeverSheds}},
+    {"a router that gets no answers ends its transfer",
      transfer_scenarios::lagging_gives_up,
      {Flaw::TransferNeverEnds}},
-    {"pages that nobody asked for are not used",
-     transfer_scenarios::unasked_pages_unused,
-     {Flaw::UnaskedPagesUsed}},
+    {"unsolicited pages are not used", transfer_scenarios::unasked_pages_unused, {Flaw::UnaskedPagesUsed}},
     {"pages a minute late are not used", transfer_scenarios::pages_of_earlier_lives, {Flaw::LatePagesUsed}},
-    {"a helper that was stopped for long says so",
+    {"a helper that was paused for long reports that it is not complete",
      transfer_scenarios::stopped_helper_admits_it,
      {Flaw::PauseKeepsComplete}},
-    {"off means off", transfer_scenarios::off_means_off, {Flaw::PagesWhileOff}},
+    {"no pages are used while state transfer is off",
+     transfer_scenarios::off_means_off,
+     {Flaw::PagesWhileOff}},
 });
 
 }  // namespace
 
-TEST_CASE("each scenario holds") {
+TEST_CASE("every scenario holds with all guards") {
     planted() = Flaw::None;
     for (auto& one : scenarios) {
         INFO(std::string(one.name));
@@ -334,7 +341,7 @@
     }
 }
 
-TEST_CASE("each guard that is taken out makes its scenario fail, and none is without one") {
+TEST_CASE("every scenario fails without its guard, and every guard has a scenario") {
     std::map<Flaw, bool> covered;
     for (auto& one : scenarios)
         for (auto flaw : one.guards) {
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -1,6 +1,7 @@
-// A router asks once more before it gives another up: also where it has hardly bytes left, since what rides
-// along takes them, and where it hears of the second accuser only after the shortest time has passed. The
-// datagrams are written by hand, the clock is the test's.
+// The last call: before it declares an accused router dead, a router pings it or others once more. Guards
+// against verdicts without a last call where piggybacked payload uses up the byte budget, and where the
+// second accuser is heard of only after the shortest suspicion time has passed. The datagrams are hand-made,
+// the clock is the test's.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,13 +15,13 @@
 namespace {
 
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
-constexpr Micros between_passes = 10 * ms;
+constexpr Micros between_ticks = 10 * ms;
 constexpr Number first_accuser = 1, second_accuser = 2, accused = 3;
 constexpr int routers = 200;
 constexpr MemberState accused_state{400, Phase::Here, 0, Verdict::Suspected, false};
 
-// Has something to tell at any time, as shared facts in a burst of purges.
-class Talkative : public Piggyback {
+// Fills all the room it is offered, as shared facts do in a burst of purges.
+class GreedyPiggyback : public Piggyback {
 public:
     std::string load(Number /*to*/, std::size_t room, Micros /*now*/) override {
         return std::string(room, 'x');
@@ -38,29 +39,29 @@
     return encode(message);
 }
 
-// Router 0 of many, told of accusations, until it gives the accused up.
-class Judge {
+// Router 0 of many, which receives accusations until it declares the accused dead.
+class SuspectingRouter {
 public:
-    Judge() : membership(start()) {}
+    SuspectingRouter() : membership(start()) {}
 
-    void hear_accusation_by(Number accuser, Micros age) {
+    void receive_accusation_by(Number accuser, Micros age) {
         membership.receive(accuser, accusation_by(accuser, age), now);
         collect();
     }
-    void carry(Piggyback& rider) { passenger_talks = true, membership.set_piggyback(&rider); }
-    // False where it gave the accused up meanwhile.
-    bool pass_until(Micros until) {
-        while (now < until && !judged_at) {
-            now += between_passes;
+    void set_piggyback(Piggyback& source) { sends_piggyback = true, membership.set_piggyback(&source); }
+    // False where it declared the accused dead meanwhile.
+    bool run_until(Micros until) {
+        while (now < until && !verdict_at) {
+            now += between_ticks;
             membership.tick(now);
-            if (passenger_talks) membership.send_piggyback(routers - 1, -1, true, now);
+            if (sends_piggyback) membership.send_piggyback(routers - 1, -1, true, now);
             collect();
         }
-        return !judged_at;
+        return !verdict_at;
     }
-    bool asked() const { return asked_at.has_value(); }
-    // From the first ping about the accused to the verdict.
-    Micros time_to_answer() const { return *judged_at - *asked_at; }
+    bool made_last_call() const { return last_call_at.has_value(); }
+    // From the first last-call ping about the accused to the verdict.
+    Micros time_for_answer() const { return *verdict_at - *last_call_at; }
 
     Micros now = noon_at;
 
@@ -72,7 +73,7 @@
         made.now = noon_at;
         return made;
     }
-    // Probes are numbered, last calls are not.
+    // A ping of a probe has a number; one of a last call has number 0.
     void collect() {
         for (auto& datagram : membership.take_outgoing()) {
             auto read = decode(datagram.bytes, routers, now);
@@ -80,52 +81,52 @@
             auto& accounts = read.message->accounts;
             bool about = std::any_of(accounts.begin(), accounts.end(),
                                      [](auto& account) { return account.who == accused; });
-            if (read.message->kind == Kind::Ping && read.message->probe == 0 && about && !asked_at)
-                asked_at = now;
+            if (read.message->kind == Kind::Ping && read.message->probe == 0 && about && !last_call_at)
+                last_call_at = now;
         }
-        if (membership.state(accused) == State::Dead && !judged_at) judged_at = now;
+        if (membership.state(accused) == State::Dead && !verdict_at) verdict_at = now;
     }
 
     Membership membership;
-    bool passenger_talks = false;
-    std::optional<Micros> asked_at, judged_at;
+    bool sends_piggyback = false;
+    std::optional<Micros> last_call_at, verdict_at;
 };
 
-constexpr Micros period = MembershipSettings{}.probe_period,
-                 shortest = MembershipSettings{}.shortest_suspicion,
-                 longest_time = MembershipSettings{}.longest_suspicion;
+constexpr Micros probe_period = MembershipSettings{}.probe_period,
+                 shortest_suspicion = MembershipSettings{}.shortest_suspicion,
+                 longest_suspicion = MembershipSettings{}.longest_suspicion;
 
 }  // namespace
 
-TEST_CASE("a router asks once more before its verdict, which comes no later for it") {
-    Judge judge;
-    judge.hear_accusation_by(first_accuser, 0);
-    judge.hear_accusation_by(second_accuser, 0);
-    CHECK(judge.pass_until(noon_at + shortest - between_passes));
-    CHECK(judge.asked());
-    CHECK(!judge.pass_until(noon_at + shortest + between_passes));
-    CHECK(judge.time_to_answer() >= period);
+TEST_CASE("a last call precedes the verdict and does not delay it") {
+    SuspectingRouter router;
+    router.receive_accusation_by(first_accuser, 0);
+    router.receive_accusation_by(second_accuser, 0);
+    CHECK(router.run_until(noon_at + shortest_suspicion - between_ticks));
+    CHECK(router.made_last_call());
+    CHECK(!router.run_until(noon_at + shortest_suspicion + between_ticks));
+    CHECK(router.time_for_answer() >= probe_period);
 }
 
-TEST_CASE("where the second accuser is heard of late, a router has asked before its verdict") {
-    Judge judge;
-    judge.hear_accusation_by(first_accuser, 0);
-    REQUIRE(judge.pass_until(noon_at + 2 * shortest));
-    judge.hear_accusation_by(second_accuser, 2 * shortest);
-    CHECK(!judge.pass_until(noon_at + longest_time));
-    REQUIRE(judge.asked());
-    CHECK(judge.time_to_answer() >= period);
+TEST_CASE("a second accuser that is heard of late leaves time for the answer to the last call") {
+    SuspectingRouter router;
+    router.receive_accusation_by(first_accuser, 0);
+    REQUIRE(router.run_until(noon_at + 2 * shortest_suspicion));
+    router.receive_accusation_by(second_accuser, 2 * shortest_suspicion);
+    CHECK(!router.run_until(noon_at + longest_suspicion));
+    REQUIRE(router.made_last_call());
+    CHECK(router.time_for_answer() >= probe_period);
 }
 
-TEST_CASE("what rides along leaves the bytes to ask before a verdict") {
-    Judge judge;
-    Talkative rider;
-    judge.carry(rider);
-    REQUIRE(judge.pass_until(noon_at + 5 * second));
-    auto accused_at = judge.now;
-    judge.hear_accusation_by(first_accuser, 0);
-    judge.hear_accusation_by(second_accuser, 0);
-    CHECK(!judge.pass_until(accused_at + longest_time + period));
-    REQUIRE(judge.asked());
-    CHECK(judge.time_to_answer() >= period);
+TEST_CASE("piggybacked payload leaves the bytes for a last call") {
+    SuspectingRouter router;
+    GreedyPiggyback source;
+    router.set_piggyback(source);
+    REQUIRE(router.run_until(noon_at + 5 * second));
+    auto accused_at = router.now;
+    router.receive_accusation_by(first_accuser, 0);
+    router.receive_accusation_by(second_accuser, 0);
+    CHECK(!router.run_until(accused_at + longest_suspicion + probe_period));
+    REQUIRE(router.made_last_call());
+    CHECK(router.time_for_answer() >= probe_period);
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,4 +1,4 @@
-// Who of the routers is there: the pieces, each by itself. What they do together is in flaws/peers_flaws.cpp.
+// The parts of the membership, each by itself. Scenarios with many routers are in flaws/peers_flaws.cpp.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -16,7 +16,7 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
 
-std::vector<MemberState> all_standings() {
+std::vector<MemberState> all_member_states() {
     std::vector<MemberState> all;
     for (Life life : {1, 2})
         for (auto phase : {Phase::Here, Phase::Leaving, Phase::Gone})
@@ -26,7 +26,7 @@
     return all;
 }
 
-Message a_message() {
+Message sample_message() {
     Message message;
     message.from = 3;
     message.self = {1'764'576'000'000, Phase::Leaving, 5, Verdict::Alive, true};
@@ -43,7 +43,7 @@
     return message;
 }
 
-Membership a_circle(Number self = 0, int routers = 4) {
+Membership make_membership(Number self = 0, int routers = 4) {
     MembershipConfig start;
     start.self = self;
     start.routers = routers;
@@ -52,8 +52,8 @@
     return Membership(start);
 }
 
-// A datagram of another router that tells one account.
-std::string telling(Number from, Account account, std::vector<Accusation> accusations = {}) {
+// A datagram of router `from` that carries one account.
+std::string news_with(Number from, Account account, std::vector<Accusation> accusations = {}) {
     Message message;
     message.from = from;
     message.self = {500, Phase::Here, 0, Verdict::Alive, false};
@@ -65,8 +65,8 @@
 
 }  // namespace
 
-TEST_CASE("accounts join the same in any order, any number of times") {
-    auto all = all_standings();
+TEST_CASE("joining accounts is commutative, associative and idempotent") {
+    auto all = all_member_states();
     for (auto& a : all) {
         CHECK(join(a, a) == a);
         for (auto& b : all) {
@@ -76,9 +76,9 @@
     }
 }
 
-TEST_CASE("no account takes a router back: to an earlier life, phase or incarnation") {
-    for (auto& a : all_standings())
-        for (auto& b : all_standings()) {
+TEST_CASE("joining an account never lowers the life, nor the phase or incarnation within a life") {
+    for (auto& a : all_member_states())
+        for (auto& b : all_member_states()) {
             auto joined = join(a, b);
             REQUIRE(joined.life >= a.life);
             if (joined.life == a.life) {
@@ -88,8 +88,8 @@
         }
 }
 
-TEST_CASE("a datagram is read as it was written") {
-    auto message = a_message();
+TEST_CASE("a datagram decodes to the message that was encoded") {
+    auto message = sample_message();
     auto read = decode(encode(message), 10, noon_at);
     REQUIRE(read.message);
     auto& got = *read.message;
@@ -105,7 +105,7 @@
     CHECK(got.first == 4);
 }
 
-TEST_CASE("what can't be used is dropped, and why is told") {
+TEST_CASE("a datagram that can't be used is dropped with the reason") {
     auto why = [](const Message& message, int routers = 10) {
         auto read = decode(encode(message), routers, noon_at);
         CHECK(!read.message);
@@ -115,18 +115,18 @@
     CHECK(decode("\xff\xff\xff", 10, noon_at).why == Dropped::Malformed);
     CHECK(decode("", 10, noon_at).why == Dropped::Format);
     CHECK(decode("\x08\x02\x10\x01\x18\x01", 10, noon_at).why == Dropped::Format);
-    CHECK(why(a_message(), 9) == Dropped::OutOfRange);  // about number 9, of nine
-    auto future = a_message();
+    CHECK(why(sample_message(), 9) == Dropped::OutOfRange);  // it is about router 9, but there are only nine
+    auto future = sample_message();
     future.accounts[0].member_state.life += 3 * Life{86'400'000};
     CHECK(why(future) == Dropped::OutOfRange);
-    auto dead = a_message();
-    dead.self.verdict = Verdict::Dead;  // nobody says that of itself
+    auto dead = sample_message();
+    dead.self.verdict = Verdict::Dead;  // no router reports itself dead
     CHECK(why(dead) == Dropped::OutOfRange);
-    auto many = a_message();
+    auto many = sample_message();
     many.hashes.assign(30, 1);  // more blocks than ten routers have
     CHECK(why(many) == Dropped::OutOfRange);
-    // Cut anywhere, and with any byte changed, it is read as something or dropped, never more.
-    auto whole = encode(a_message());
+    // Truncated anywhere, or with any bit flipped, it is decoded or dropped without a fault.
+    auto whole = encode(sample_message());
     for (std::size_t i = 0; i < whole.size(); i++) {
         decode(whole.substr(0, i), 10, noon_at);
         for (int bit = 0; bit < 8; bit++) {
@@ -137,17 +137,17 @@
     }
 }
 
-TEST_CASE("the order probes everybody once a slot and all in a round") {
+TEST_CASE("the schedule probes each router once a slot, and by all others in a round") {
     for (int routers : {2, 3, 7, 50}) {
-        std::vector<ProbeSchedule> orders;
-        orders.reserve(static_cast<std::size_t>(routers));
-        for (Number who = 0; who < routers; who++) orders.emplace_back(who, routers, 333 * ms);
+        std::vector<ProbeSchedule> schedules;
+        schedules.reserve(static_cast<std::size_t>(routers));
+        for (Number who = 0; who < routers; who++) schedules.emplace_back(who, routers, 333 * ms);
         std::vector<std::set<Number>> probed(static_cast<std::size_t>(routers));
         std::int64_t first = std::int64_t{1000} * (routers - 1);
         for (auto slot = first; slot < first + routers - 1; slot++) {
             std::set<Number> targets;
             for (Number who = 0; who < routers; who++) {
-                auto target = orders[static_cast<std::size_t>(who)].target(slot);
+                auto target = schedules[static_cast<std::size_t>(who)].target(slot);
                 CHECK(target != who);
                 targets.insert(target);
                 probed[static_cast<std::size_t>(who)].insert(target);
@@ -158,24 +158,24 @@
     }
 }
 
-TEST_CASE("a second accuser shortens the time to answer, the same one twice does not") {
+TEST_CASE("a second accuser shortens the time to refute, the same one twice does not") {
     Suspicions suspicions({2 * second, 8 * second, second});
     suspicions.accuse(5, 1, 0, noon_at);
     suspicions.accuse(5, 1, 0, noon_at + second);
     CHECK(suspicions.deadline(*suspicions.find(5), 0) == noon_at + 8 * second);
     suspicions.accuse(5, 2, 0, noon_at + second);
     CHECK(suspicions.deadline(*suspicions.find(5), 0) == noon_at + 2 * second);
-    SUBCASE("one that was heard meanwhile has the time from then") {
+    SUBCASE("a suspected router that was heard since has the time from then") {
         CHECK(suspicions.deadline(*suspicions.find(5), noon_at + second) == noon_at + 3 * second);
     }
-    SUBCASE("an age that is told takes off half of the time at most") {
+    SUBCASE("a reported age shortens the time by half at most") {
         suspicions.accuse(6, 1, 500 * second, noon_at);
         suspicions.accuse(6, 2, 500 * second, noon_at);
         CHECK(suspicions.deadline(*suspicions.find(6), 0) == noon_at + second);
     }
 }
 
-TEST_CASE("four misses in a row make a cut, one datagram ends it") {
+TEST_CASE("four misses in a row make a cut, and one datagram ends it") {
     Reachability reachability(0);
     for (int i = 0; i < 3; i++) CHECK(!reachability.missed(4, noon_at));
     CHECK(reachability.doubtful(4));
@@ -184,20 +184,21 @@
     CHECK(!reachability.cut(0, 4));
     CHECK(reachability.heard(4, noon_at));
     CHECK(!reachability.cut(4, 0));
-    SUBCASE("what another listener says goes by its life and count") {
+    SUBCASE("reports of another listener are ordered by its life and sequence number") {
         CHECK(reachability.told({1, 2, 5, true}, 10, noon_at));
         CHECK(!reachability.told({1, 2, 5, false}, 10, noon_at));
         CHECK(!reachability.told({1, 2, 9, false}, 9, noon_at));
         CHECK(reachability.told({1, 2, 6, false}, 10, noon_at));
         CHECK(!reachability.cut(1, 2));
     }
-    SUBCASE("no more than 64 are kept") {
+    SUBCASE("at most 64 cuts are kept") {
         for (int i = 0; i < 200; i++) reachability.told({i, i + 1, 1, true}, 1, noon_at);
         CHECK(reachability.cuts().size() <= 64);
     }
 }
 
-TEST_CASE("news is told a bounded number of times, urgent first, less where others tell it") {
+TEST_CASE(
+    "an update is gossiped a bounded number of times, urgent ones first, and fewer if others gossip it") {
     GossipQueue gossip(10);
     gossip.enqueue(1, false);
     gossip.enqueue(2, true);
@@ -210,48 +211,49 @@
     CHECK(gossip.size() == 0);
 }
 
-TEST_CASE("a router that was accused answers with a higher incarnation") {
-    auto membership = a_circle();
-    membership.receive(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Suspected, false}}), noon_at);
+TEST_CASE("an accused router refutes with a higher incarnation") {
+    auto membership = make_membership();
+    membership.receive(1, news_with(1, {0, {1000, Phase::Here, 0, Verdict::Suspected, false}}), noon_at);
     CHECK(membership.self().incarnation == 1);
-    membership.receive(1, telling(1, {0, {1000, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
-    CHECK(membership.self().incarnation == 1);  // that one was answered already
-    membership.receive(1, telling(1, {0, {1000, Phase::Here, 7, Verdict::Alive, false}}), noon_at);
-    CHECK(membership.self().incarnation == 8);  // of its last run, within the same millisecond
-    membership.receive(1, telling(1, {0, {1000, Phase::Gone, 9, Verdict::Alive, false}}), noon_at);
-    CHECK(membership.self().life == 1001);  // which it did not say in this life
-    membership.receive(1, telling(1, {0, {5000, Phase::Here, 0, Verdict::Alive, false}}), noon_at);
+    membership.receive(1, news_with(1, {0, {1000, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
+    CHECK(membership.self().incarnation == 1);  // a higher incarnation has refuted that already
+    membership.receive(1, news_with(1, {0, {1000, Phase::Here, 7, Verdict::Alive, false}}), noon_at);
+    CHECK(membership.self().incarnation == 8);  // raised by an earlier process of the same millisecond
+    membership.receive(1, news_with(1, {0, {1000, Phase::Gone, 9, Verdict::Alive, false}}), noon_at);
+    CHECK(membership.self().life == 1001);  // it has not announced that in this life, so it starts another
+    membership.receive(1, news_with(1, {0, {5000, Phase::Here, 0, Verdict::Alive, false}}), noon_at);
     CHECK(membership.self().life == 5001);
 }
 
-TEST_CASE("nobody speaks under another's number, from elsewhere, or in my name") {
-    auto membership = a_circle();
-    auto gone = telling(2, {3, {400, Phase::Gone, 0, Verdict::Alive, false}});
+TEST_CASE(
+    "datagrams under the number of another router or of this one, or from an unknown address, are dropped") {
+    auto membership = make_membership();
+    auto gone = news_with(2, {3, {400, Phase::Gone, 0, Verdict::Alive, false}});
     membership.receive(1, gone, noon_at);
     membership.receive(-1, gone, noon_at);
     CHECK(membership.state(3) == State::Unknown);
     membership.receive(2, gone, noon_at);
     CHECK(membership.state(3) == State::Gone);
     CHECK(membership.counters().dropped[static_cast<std::size_t>(Dropped::Source)] == 2);
-    auto mine = telling(0, {3, {400, Phase::Here, 0, Verdict::Alive, false}});
-    membership.receive(0, mine, noon_at);
+    auto own = news_with(0, {3, {400, Phase::Here, 0, Verdict::Alive, false}});
+    membership.receive(0, own, noon_at);
     CHECK(membership.counters().dropped[static_cast<std::size_t>(Dropped::Source)] == 3);
 }
 
-TEST_CASE("counts are an interval, and only a router's own word makes it certain") {
-    auto membership = a_circle();
+TEST_CASE("counts are bounds, and only a router's own announcement is certain") {
+    auto membership = make_membership();
     CHECK(membership.counts().at_least == 1);
     CHECK(membership.counts().at_most == 4);
-    membership.receive(1, telling(1, {2, {400, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
-    membership.receive(1, telling(1, {3, {400, Phase::Gone, 0, Verdict::Alive, false}}), noon_at);
+    membership.receive(1, news_with(1, {2, {400, Phase::Here, 0, Verdict::Dead, false}}), noon_at);
+    membership.receive(1, news_with(1, {3, {400, Phase::Gone, 0, Verdict::Alive, false}}), noon_at);
     CHECK(membership.counts().at_least == 2);
-    CHECK(membership.counts().at_most == 3);  // the dead one may be behind a cut
+    CHECK(membership.counts().at_most == 3);  // the dead one may only be partitioned
     CHECK(membership.view(3, noon_at).confidence == 1);
     CHECK(membership.view(2, noon_at).confidence < 1);
     CHECK(membership.view(1, noon_at + 60 * second).confidence < membership.view(1, noon_at).confidence);
 }
 
-TEST_CASE("a router that handles too few of its lookups is ill, and well again with a margin") {
+TEST_CASE("a router that serves too few lookups is unhealthy, and healthy again only with a margin") {
     RequestHealth request_health;
     std::uint64_t ended = 0, bad = 0;
     auto run = [&](double share, int seconds, Micros& now) {
@@ -267,11 +269,11 @@
     Micros now = noon_at;
     CHECK(!run(0.1, 10, now));
     CHECK(run(0.8, 10, now));
-    CHECK(run(0.3, 10, now));  // not yet
+    CHECK(run(0.3, 10, now));  // better, but not below the margin
     CHECK(!run(0.1, 10, now));
 }
 
-TEST_CASE("the operators' file turns the talk with peers on, and its faults are told") {
+TEST_CASE("the operators' file turns membership on, and its faults are reported") {
     CHECK(!operate::read("{}").plan.peers);
     auto read = operate::read(R"({"peers": {"period_ms": 500, "bytes_per_s": 400, "gap_ms": 300}})");
     CHECK(read.faults.empty());
@@ -288,7 +290,8 @@
     CHECK(bad.faults.size() == 4);
 }
 
-TEST_CASE("a router talks with its peers only where the settings allow it and its number is in the list") {
+TEST_CASE(
+    "a router takes part in the membership only if the settings allow it and it has an index in the list") {
     auto told = rig::config_of(1, 2, {3});
     auto with = [&](const std::string& settings, const std::string& members) {
         auto text = told;
@@ -299,7 +302,7 @@
     std::string list = R"("peer_listen":"127.0.0.1:9","peers":["127.0.0.1:7","127.0.0.1:8"],)";
     CHECK_THROWS_AS(with("", list), site::Unusable);
     CHECK_THROWS_AS(with("\"peers\":true,", ""), site::Unusable);
-    CHECK_THROWS_AS(with("\"peers\":true,", list), site::Unusable);  // no number of its own
+    CHECK_THROWS_AS(with("\"peers\":true,", list), site::Unusable);  // no index of its own
     auto of_size = [](int count) {
         std::string members = R"("peer_listen":"127.0.0.1:9","peers":[)";
         for (int i = 0; i < count; i++)
@@ -312,8 +315,9 @@
     CHECK_THROWS_AS(with("\"peers\":true,", of_size(most_routers + 1)), site::Unusable);
 }
 
-TEST_CASE("datagrams of a tier longer than the bound are dropped, and the largest number within it is read") {
-    auto message = a_message();
+TEST_CASE(
+    "datagrams of a tier above the size limit are dropped, and the largest number within it is decoded") {
+    auto message = sample_message();
     message.from = most_routers - 1;
     message.accounts[0].who = most_routers - 2;
     auto read = decode(encode(message), most_routers, noon_at);
@@ -324,8 +328,8 @@
     CHECK(decode(encode(message), most_routers - 1, noon_at).why == Dropped::OutOfRange);
 }
 
-TEST_CASE("kinds of a state transfer are dropped and counted where it is off") {
-    auto membership = a_circle();
+TEST_CASE("state transfer datagrams are dropped and counted while state transfer is off") {
+    auto membership = make_membership();
     Message request;
     request.from = 1;
     request.self = {500, Phase::Here, 0, Verdict::Alive, false};
