--- a/src/peers/byte_budget.hpp
+++ b/src/peers/byte_budget.hpp
@@ -1,5 +1,5 @@
-// A token bucket of bytes: it fills at a fixed rate up to a burst, and sending or requesting data spends from
-// it.
+// A token bucket of bytes: it fills at a fixed rate up to a burst, and sending or
+// requesting data spends from it.
 #pragma once
 
 #include <algorithm>
--- a/src/peers/gossip_queue.hpp
+++ b/src/peers/gossip_queue.hpp
@@ -1,6 +1,6 @@
-// The accounts that still have to be gossiped, and how often each has been sent. Memory is one entry a
-// router. The queue holds router numbers only: the caller writes the newest account of a router when it
-// sends.
+// The accounts that still have to be gossiped, and how often each has been sent. Memory is
+// one entry a router. The queue holds router numbers only: the caller writes the newest
+// account of a router when it sends.
 #pragma once
 
 #include <algorithm>
@@ -17,8 +17,8 @@
         : entries(static_cast<std::size_t>(routers)),
           limit(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
 
-    // How often each update is sent. It grows with the logarithm of the group size, so that an update reaches
-    // all routers with a margin (SWIM, section 4.1).
+    // How often each update is sent. It grows with the logarithm of the group size, so that an update
+    // reaches all routers with a margin (SWIM, section 4.1).
     int repeat_limit() const { return limit; }
     void enqueue(Number who, bool urgent) {
         auto& entry = entries[static_cast<std::size_t>(who)];
--- a/src/peers/local_health.hpp
+++ b/src/peers/local_health.hpp
@@ -18,8 +18,9 @@
     // Factor on the time to wait for an answer and on the interval between probes: 1 when healthy, 4 at most.
     int multiplier() const { return 1 + score; }
 
-    // Called at each entry into the module. Returns how late the call is where that is longer than the
-    // longest pause, else 0. A clock that jumps ahead looks like a pause, and treating it as one is harmless.
+    // Called at each entry into the module. Returns how late the call is where that is longer
+    // than the longest pause, else 0. A clock that jumps ahead looks like a pause, and
+    // treating it as one is harmless.
     Micros detect_pause(Micros now) {
         auto late = now - next_call_by;
         next_call_by = std::max(next_call_by, now);
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -105,10 +105,10 @@
     local_health.expect_call_by(next_tick());
 }
 
-// Called first at each entry point. Guards against a router that was paused, or got no processor time, and
-// then accuses others because of datagrams that it missed meanwhile. It drops its open probes, probes each
-// suspected router again before a verdict, and refutes in advance what may have been said of it during the
-// pause.
+// Called first at each entry point. Guards against a router that was paused, or got no processor
+// time, and then accuses others because of datagrams that it missed meanwhile. It drops its open
+// probes, probes each suspected router again before a verdict, and refutes in advance what may have
+// been said of it during the pause.
 void Membership::handle_pause(Micros now) {
     auto pause = local_health.detect_pause(now);
     if (pause == 0) return;
@@ -119,7 +119,7 @@
     local_health.degrade();
     // Slots that passed during the pause are not made up for.
     last_slot = probe_schedule.slot(now);
-    // Gossip of that time may have been repeated often enough for the others and not come here.
+    // Gossip from the time of the pause may have reached its repeat limit, so that it never comes here.
     if (transfer && pause >= settings.longest_suspicion) transfer->begin_after_pause(now);
     raise_incarnation(true);
     send_gossip(3, now);
@@ -207,8 +207,8 @@
     report_ended_cuts(ended_cuts, by, now);
 }
 
-// An accusation refers to an account in the same datagram, and counts only if that account is the one known
-// here.
+// An accusation refers to an account in the same datagram, and counts only if that
+// account is the one known here.
 void Membership::apply_accusations(const Message& message, Micros now) {
     for (auto& one : message.accusations) {
         auto about = std::find_if(message.accounts.begin(), message.accounts.end(),
@@ -226,8 +226,9 @@
             report_link(report.speaker, report.listener, report.cut, message.from, now);
 }
 
-// Handles what others report of this router. It refutes an accusation with a higher incarnation. What this
-// life can't have announced (a later life, a later phase, the highest incarnation) makes it begin a new life.
+// Handles what others report of this router. It refutes an accusation with a higher incarnation.
+// What this life can't have announced (a later life, a later phase, the highest incarnation)
+// makes it begin a new life.
 void Membership::refute(const MemberState& reported) {
     if (reported.life < self_state.life) return;
     if (reported.life > self_state.life || (reported.phase > self_state.phase) ||
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -11,24 +11,22 @@
 //
 // Guarantees, and what follows from them for safety:
 //
-//   - No state proves that a router is gone: a partition looks like death to both of its sides, a paused
-//   router
-//     looks dead to all. So no router may take a larger share because others seem dead. Divide an amount by
-//     the configured number of routers, or lend it with an end; never divide it by counts().at_least. Only
-//     `Gone` is certain: the router announced it, for one life, and may start a new life at any time.
+// - No state proves that a router is gone: a partition looks like death to both of its sides, and a paused
+//   router looks dead to all. So no router may take a larger share because others seem dead. Divide an
+//   amount by the configured number of routers, or lend it with an end; never divide it by
+//   counts().at_least. Only `Gone` is certain: the router announced it, for one life, and may start a new
+//   life at any time.
 //
-//   - A live router that can be reached through any other stays out of `Dead` while datagrams are lost or
-//   late.
-//     If it was declared dead, it returns by itself once it can be reached again.
+// - A live router that can be reached through any other stays out of `Dead` while datagrams are lost or
+//   late. If it was declared dead, it returns by itself once it can be reached again.
 //
-//   - A cut in one direction never makes a router suspected: it is `Silent` to the router that does not hear
+// - A cut in one direction never makes a router suspected: it is `Silent` to the router that does not hear
 //   it.
 //
-//   - A datagram has at most 256 bytes. MembershipSettings::bytes_per_s bounds the long-run rate of sending,
-//   with
-//     a burst of at most two seconds' worth, whatever is received and however many routers there are.
+// - A datagram has at most 256 bytes. MembershipSettings::bytes_per_s bounds the long-run rate of sending,
+//   with a burst of at most two seconds' worth, whatever is received and however many routers there are.
 //
-//   - Memory is some hundred bytes for each router, allocated at the start, and at most 64 one-sided cuts.
+// - Memory is some hundred bytes for each router, allocated at the start, and at most 64 one-sided cuts.
 //
 // Times are microseconds of the Unix clock. Datagrams that can't be used are dropped and counted, see
 // MembershipCounters::dropped.
@@ -64,8 +62,8 @@
     Micros longest_suspicion = 8'000'000;   // with a single accuser
     Micros longest_pause = 250'000;         // a call later than this means that the router was paused
     int indirect_probe_helpers = 2;
-    // State transfer at the start and after partitions (docs/state-transfer.md). When it is off, datagrams of
-    // its kinds are not sent, and those received are dropped and counted.
+    // State transfer at the start and after partitions (docs/state-transfer.md). When it is off, datagrams
+    // of its kinds are not sent, and those received are dropped and counted.
     bool state_transfer = false;
     bool operator==(const MembershipSettings&) const = default;
 };
@@ -96,15 +94,15 @@
     State before, after;
     Micros at;
     MemberState member_state;
-    Number
-        by;  // the accuser, helper or sender that caused it; `who` where its own datagram did; -1: a timeout
+    // The accuser, helper or sender that caused the change; `who` where its own datagram did; -1: a timeout.
+    Number by;
 };
 
 struct MemberView {
     State state = State::Unknown;
     Micros since = 0;  // start of the state
-    double confidence =
-        0;  // 0 to 1. 1 only for what the router itself announced; falls while nobody is heard
+    // From 0 to 1. It is 1 only for what the router itself announced, and falls while no router is heard.
+    double confidence = 0;
     bool unhealthy = false;  // it answers its peers, but reports that its lookups are not served
     int zone = -1;           // -1: not known yet
     MemberState member_state{};
@@ -134,12 +132,13 @@
     virtual ~Piggyback() = default;
     // Returns at most `room` bytes for `to`, or nothing. They are sent once, and not again if they are lost.
     virtual std::string load(Number to, std::size_t room, Micros now) = 0;
-    // Takes payload that was received, before the datagram that carried it is answered. `life` is the
-    // sender's.
+    // Takes payload that was received, before the datagram that carried it is
+    // answered. `life` is the sender's.
     virtual void unload(Number from, Life life, std::string_view bytes, Micros now) = 0;
 };
 
-// Totals since the start.
+// Totals since the start. `withheld`: datagrams that were not sent for lack of bytes; `requests_shed`: range
+// requests answered as busy.
 struct MembershipCounters {
     std::uint64_t piggyback_bytes = 0;  // sent
     std::uint64_t sent = 0, bytes_sent = 0, received = 0, withheld = 0, pauses = 0, refutations = 0,
@@ -173,7 +172,7 @@
     void set_piggyback(Piggyback* source) { piggyback = source; }
     // Sends datagrams for the sake of the piggybacked payload, to at most `most` routers that are alive and
     // not cut off, of zone `in_zone` unless that is -1. Returns false where the byte budget allowed none.
-    // Urgent ones may also use bytes that are reserved for answers to others.
+    // Urgent ones may use as many bytes as answers to indirect probes.
     bool send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now);
     bool send_piggyback(Number to, bool urgent, Micros now);
     // Sends an urgent one to `to`, or has its bytes saved up until the end of the next tick.
@@ -199,8 +198,8 @@
     bool transferring() const;
 
 private:
-    // Changes kept until they are taken, so that a caller which never takes them does not use memory without
-    // bound.
+    // Changes kept until they are taken, so that a caller which never takes them does not
+    // use memory without bound.
     static constexpr std::size_t max_kept_changes = 10'000;
 
     struct Member {
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -33,7 +33,8 @@
     bool soon = early_digests > 0;
     if (early_digests > 0) early_digests--;
     next_digest_at = now + settings.probe_period * (soon ? 2 : 10);
-    // Nearly all blocks would differ, and the answers hold fewer accounts than pages do.
+    // During a state transfer nearly all blocks differ, and answers to digests hold
+    // fewer accounts than pages.
     if (transferring()) return;
     // Without state transfer a digest needs one second's worth of bytes, of the two that can be saved up.
     // With it only one second's worth can be saved up, so a digest needs the usual reserve.
@@ -103,19 +104,19 @@
     return transfer && transfer->phase() == StateTransfer::Phase::Running;
 }
 
-// A router that has just started does not gossip: the others know its news already, and gossip would take the
-// bytes of the pages it requests. Where all routers start at once, gossip is needed.
+// A router that has just started does not gossip: the others know its news already, and gossip would take
+// the bytes of the pages it requests. Where all routers start at once, gossip is needed.
 bool Membership::suppresses_gossip() const { return transferring() && transfer->tier_is_complete(); }
 
-// Whether a member without an account here is unknown to the other routers too, as far as this router can
-// tell.
+// Whether a member without an account here is unknown to the other routers too, as
+// far as this router can tell.
 bool Membership::is_complete(Micros now) const {
     return transfer->phase() == StateTransfer::Phase::Complete &&
            now - last_heard_any <= settings.longest_suspicion;
 }
 
-// Requests pages where many blocks differ from those of `from`, as after a partition: gossip would take too
-// long.
+// Requests pages where many blocks differ from those of `from`, as after a partition:
+// gossip would take too long.
 void Membership::fetch_blocks(const std::vector<Number>& starts, Number from, Micros now) {
     if (static_cast<int>(starts.size()) < min_blocks_to_fetch) return;
     for (auto start : starts) transfer->refresh(start, std::min(block, routers() - start), from, now);
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -1,5 +1,5 @@
-// The part of a Membership that probes others and answers probes: pings, indirect probes through helpers, and
-// what follows from a probe that ends without an answer.
+// The part of a Membership that probes others and answers probes: pings, indirect probes through helpers,
+// and what follows from a probe that ends without an answer.
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
 #include <limits>
@@ -49,8 +49,8 @@
     if (!send(target, ping, SendPriority::Probe, now)) return;
     auto wait = settings.probe_period * local_health.multiplier();
     probes.push_back({ping.probe, target, now, now + settings.probe_period / 6, now + wait, now + wait});
-    // Where one direction is known to be cut, helpers are asked at once, and the ping only finds out whether
-    // the cut persists.
+    // Where one direction is known to be cut, helpers are asked at once, and the ping only finds out
+    // whether the cut persists.
     if (reachability.cut(self_number, target) || reachability.cut(target, self_number))
         advance_probe(probes.back(), now);
 }
@@ -61,8 +61,8 @@
     return transferring() && at(who).state == State::Unknown;
 }
 
-// Whether the router is believed to run, so that a probe without an answer is worth more pings and an
-// accusation.
+// Whether the router is believed to run, so that a probe without an answer is worth
+// more pings and an accusation.
 bool Membership::believed_present(Number who) const {
     auto state = at(who).state;
     return state == State::Alive || state == State::Suspected || state == State::Silent ||
@@ -78,8 +78,8 @@
         probe.next_step_at = now + wait < probe.asking_until ? now + wait : never;
     };
     schedule_step(settings.probe_period / 6 * local_health.multiplier());
-    // A target that this router has accused already gets one ping, which carries the accusation, and no more
-    // steps.
+    // A target that this router has accused already gets one ping, which carries the
+    // accusation, and no more steps.
     auto* suspicion = suspicions.find(probe.target);
     bool accused = suspicion && !suspicion->probe_before_verdict &&
                    std::count(suspicion->accusers.begin(), suspicion->accusers.end(), self_number);
@@ -142,8 +142,8 @@
     if (target.last_heard >= probe.sent_at && !probe.answered_via_helper)
         return;  // it was heard in the meantime, by whatever datagram
     if (probe.answered_via_helper) {
-        // The target is alive, as a helper hears it. If none of its datagrams came here, its direction may be
-        // cut; a cut of the other direction is reported by the target.
+        // The target is alive, as a helper hears it. If none of its datagrams came here, its direction may
+        // be cut; a cut of the other direction is reported by the target.
         if (target.last_heard < probe.sent_at && reachability.missed(probe.target, now))
             report_link(probe.target, self_number, true, probe.helper, now);
         return;
@@ -164,9 +164,9 @@
     send(probe.target, news, SendPriority::Answer, now);
 }
 
-// Probes doubtful routers in addition to the schedule: those whose link seems cut one way, those that have to
-// be probed before a verdict, and those that this router has accused, as each ping tells the accused what it
-// has to refute.
+// Probes doubtful routers in addition to the schedule: those whose link seems cut one way, those that
+// have to be probed before a verdict, and those that this router has accused, as each ping tells the
+// accused what it has to refute.
 void Membership::reprobe_doubtful(Micros now) {
     int probed = 0;
     auto reprobe = [&](Number who) {
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-// The part of the byte budget that datagrams of this priority leave to those of higher ones, in seconds of
-// its rate.
+// The part of the byte budget that datagrams of this priority leave to those of higher
+// ones, in seconds of its rate.
 double Membership::reserve_seconds(SendPriority priority) {
     switch (priority) {
         case SendPriority::Probe:
@@ -91,8 +91,8 @@
 bool Membership::send(Number to, Message message, SendPriority priority, Micros now,
                       const std::vector<Account>& first, bool for_piggyback) {
     auto left = available_bytes(now) / settings.bytes_per_s;
-    // Guards against probes that use up all bytes while no router is heard, so that urgent payload which only
-    // this router has would never be sent.
+    // Guards against probes that use up all bytes while no router is heard, so that urgent payload which
+    // only this router has would never be sent.
     auto payload_reserve = reserves_for_piggyback && !for_piggyback && priority >= SendPriority::ProbeRetry
                                ? min_piggyback_datagram / settings.bytes_per_s
                                : 0;
@@ -129,8 +129,8 @@
     if (first.empty() && !suppresses_gossip()) add_gossip(message, room, now);
 }
 
-// Guards against a router that never learns of the accusation: it is added even where the byte budget is
-// short.
+// Guards against a router that never learns of the accusation: it is added even where
+// the byte budget is short.
 void Membership::add_accusation_of_receiver(Number to, Message& message, Micros now) {
     auto& member_state = at(to).member_state;
     if (member_state.life == 0 || member_state.verdict == Verdict::Alive) return;
@@ -153,8 +153,8 @@
         if (!add_account(who, message, room, now)) gossip.put_back(who);
 }
 
-// Adds the account, with its accusers if it is suspected. Returns false where it does not fit into `room`
-// bytes.
+// Adds the account, with its accusers if it is suspected. Returns false where it does
+// not fit into `room` bytes.
 bool Membership::add_account(Number who, Message& message, double room, Micros now) const {
     auto& member_state = at(who).member_state;
     if (member_state.life == 0 || who == self_number) return true;
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -14,8 +14,8 @@
 // whether it does. Two seconds of the default byte budget give the accused 75 bytes for each of eight
 // answers. The probability that no router pings it is below 1 / e^8, one verdict in some 3,000.
 constexpr int expected_last_pings = 8;
-// How many other routers a last call pings about the accused: with the accused itself, and without it. Three
-// datagrams either way.
+// How many other routers a last call pings about the accused: with the accused itself, and without it.
+// Three datagrams either way.
 constexpr std::size_t witnesses_with_accused = 2, witnesses_without_accused = 3;
 
 }  // namespace
--- a/src/peers/probe_schedule.hpp
+++ b/src/peers/probe_schedule.hpp
@@ -1,8 +1,8 @@
 // Whom a router probes when: a shuffled round-robin order that all routers compute alike without exchanging
 // anything. The Unix clock is cut into slots of one probe period. In each slot every router probes the one
-// that is the same distance ahead of it in the ring of numbers, so each router is probed exactly once a slot,
-// by another prober each time. After a round of N-1 slots every router has probed every other. Routers whose
-// clocks differ still probe all others in a round, only less evenly spread, as in SWIM, section 4.3.
+// that is the same distance ahead of it in the ring of numbers, so each router is probed exactly once a
+// slot, by another prober each time. After a round of N-1 slots every router has probed every other. Routers
+// whose clocks differ still probe all others in a round, only less evenly spread, as in SWIM, section 4.3.
 #pragma once
 
 #include <cstdint>
--- a/src/peers/request_health.hpp
+++ b/src/peers/request_health.hpp
@@ -1,6 +1,7 @@
-// Whether a router that answers its peers also serves its lookups. It is unhealthy once more than half of the
-// lookups that ended in the last five seconds, and at least ten did, were rejected or failed. It is healthy
-// again only when less than a fifth were, or when none ended: the margin keeps the state from oscillating.
+// Whether a router that answers its peers also serves its lookups. It is unhealthy once more than
+// half of the lookups that ended in the last five seconds, and at least ten did, were rejected or
+// failed. It is healthy again only when less than a fifth were, or when none ended: the margin keeps
+// the state from oscillating.
 #pragma once
 
 #include <array>
--- a/src/peers/suspicion.cpp
+++ b/src/peers/suspicion.cpp
@@ -10,8 +10,8 @@
 }
 
 bool Suspicions::accuse(Number who, Number accuser, Micros age, Micros now) {
-    // The reported age may be forged, or wrong because of a clock. Half of the shortest time is always left
-    // to refute.
+    // The reported age may be forged, or wrong because of a clock. Half of the shortest time
+    // is always left to refute.
     auto since = now - std::clamp<Micros>(age, 0, times.shortest / 2);
     auto [place, is_new] = open.try_emplace(who);
     auto& one = place->second;
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -76,8 +76,8 @@
 
 }  // namespace
 
-// Without the repair by digests, 4 of these seeds leave a router that holds the cut until it expires after a
-// minute.
+// Without the repair by digests, 4 of these seeds leave a router that holds the cut until
+// it expires after a minute.
 TEST_CASE("all routers learn that a cut has ended, on each of 400 seeds") {
     constexpr int seeds = 400;
     constexpr Micros limit = 15 * second;
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -1,7 +1,7 @@
 // Mutation tests of the membership: scenarios with many routers in simulated time, run with all guards and
 // once with each guard switched off. A scenario has to hold with the guards and to fail without its own, or
 // else it would not show that the guard is needed. The modules are copies of the shipped sources with the
-// switches of seam/hooks.patch, built with QUILLGRADE_FLAWS.
+// switches of seam/hooks.patch.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -1,7 +1,7 @@
 // The last call: before it declares an accused router dead, a router pings it or others once more. Guards
 // against verdicts without a last call where piggybacked payload uses up the byte budget, and where the
-// second accuser is heard of only after the shortest suspicion time has passed. The datagrams are hand-made,
-// the clock is the test's.
+// second accuser is heard of only after the shortest suspicion time has passed. The datagrams are
+// hand-made, the clock is the test's.
 #include <doctest/doctest.h>
 
 #include <algorithm>
