--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -44,34 +44,34 @@
     return "gone";
 }
 
-Membership::Membership(const MembershipConfig& start)
-    : self_number(start.self),
-      zone(start.zone),
-      settings(start.settings),
-      self_state{start.life, Phase::Here, 0, Verdict::Alive, false},
-      members(static_cast<std::size_t>(start.routers)),
-      probe_schedule(start.self, start.routers, start.settings.probe_period),
-      suspicions({start.settings.shortest_suspicion, start.settings.longest_suspicion,
-                  2 * start.settings.probe_period}),
-      reachability(start.self),
-      gossip(start.routers),
-      local_health(start.settings.longest_pause, start.now),
-      round_trips(start.settings.probe_period, start.now),
-      byte_budget(budget_of(start.settings, start.now)),
-      generator(static_cast<std::uint32_t>(start.seed ^ (start.seed >> 32) ^ start.life)),
-      last_slot(probe_schedule.slot(start.now)),
-      next_digest_at(start.now),
+Membership::Membership(const MembershipConfig& config)
+    : self_number(config.self),
+      zone(config.zone),
+      settings(config.settings),
+      self_state{config.life, Phase::Here, 0, Verdict::Alive, false},
+      members(static_cast<std::size_t>(config.routers)),
+      probe_schedule(config.self, config.routers, config.settings.probe_period),
+      suspicions({config.settings.shortest_suspicion, config.settings.longest_suspicion,
+                  2 * config.settings.probe_period}),
+      reachability(config.self),
+      gossip(config.routers),
+      local_health(config.settings.longest_pause, config.now),
+      round_trips(config.settings.probe_period, config.now),
+      byte_budget(budget_of(config.settings, config.now)),
+      generator(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32) ^ config.life)),
+      last_slot(probe_schedule.slot(config.now)),
+      next_digest_at(config.now),
       early_digests(8) {
     if (settings.state_transfer) {
-        transfer.emplace(self_number, start.routers, static_cast<std::uint32_t>(start.seed ^ start.life),
-                         start.now);
-        page_server.emplace(settings.bytes_per_s, start.now);
+        transfer.emplace(self_number, config.routers, static_cast<std::uint32_t>(config.seed ^ config.life),
+                         config.now);
+        page_server.emplace(settings.bytes_per_s, config.now);
         early_digests = 0;
     }
     auto& own = at(self_number);
     own.member_state = self_state;
     own.state = State::Alive;
-    own.since = start.now;
+    own.since = config.now;
     own.zone = static_cast<std::int16_t>(zone);
 }
 
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -151,7 +151,7 @@
 
 class Membership {
 public:
-    explicit Membership(const MembershipConfig& start);
+    explicit Membership(const MembershipConfig& config);
 
     // Takes a datagram that came from the configured address of router `from`; -1: from any other address.
     void receive(Number from, std::string_view datagram, Micros now);
--- a/tests/cut_expiry_test.cpp
+++ b/tests/cut_expiry_test.cpp
@@ -25,11 +25,11 @@
 
 // Router 0, which has received none of the pings of router `silent`, as indirect probes by the helper show.
 Membership membership_with_silent_router() {
-    MembershipConfig start;
-    start.routers = 4;
-    start.life = 1000;
-    start.now = noon_at;
-    Membership membership(start);
+    MembershipConfig config;
+    config.routers = 4;
+    config.life = 1000;
+    config.now = noon_at;
+    Membership membership(config);
     for (int i = 0; i < misses_of_a_cut; i++)
         membership.receive(helper, datagram_of_helper(Kind::Ping, silent, 500), noon_at);
     return membership;
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -25,11 +25,11 @@
 }
 
 Membership membership_of_four() {
-    MembershipConfig start;
-    start.routers = 4;
-    start.life = 1000;
-    start.now = noon_at;
-    return Membership(start);
+    MembershipConfig config;
+    config.routers = 4;
+    config.life = 1000;
+    config.now = noon_at;
+    return Membership(config);
 }
 
 bool holds_cut(const Membership& membership, Number from, Number to) {
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -238,12 +238,12 @@
 }
 
 bool probes_before_verdict() {
-    MembershipConfig start;
-    start.routers = 4;
-    start.now = 1'764'576'000 * second;
-    start.life = 1000;
-    Membership membership(start);
-    auto now = start.now;
+    MembershipConfig config;
+    config.routers = 4;
+    config.now = 1'764'576'000 * second;
+    config.life = 1000;
+    Membership membership(config);
+    auto now = config.now;
     auto tell = [&](Number from, Account account, std::vector<Accusation> accusations) {
         Message message;
         message.from = from;
@@ -253,7 +253,7 @@
         membership.receive(from, encode(message), now);
     };
     tell(1, {3, {400, Phase::Here, 0, Verdict::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
-    auto verdict_due = now + start.settings.shortest_suspicion;
+    auto verdict_due = now + config.settings.shortest_suspicion;
     while (now < verdict_due - 20 * ms) membership.tick(now += 10 * ms);
     now += 5 * second;  // paused just before the verdict would be due
     membership.tick(now);
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -42,7 +42,7 @@
 // Router 0 of many, which receives accusations until it declares the accused dead.
 class SuspectingRouter {
 public:
-    SuspectingRouter() : membership(start()) {}
+    SuspectingRouter() : membership(config()) {}
 
     void receive_accusation_by(Number accuser, Micros age) {
         membership.receive(accuser, accusation_by(accuser, age), now);
@@ -66,7 +66,7 @@
     Micros now = noon_at;
 
 private:
-    static MembershipConfig start() {
+    static MembershipConfig config() {
         MembershipConfig made;
         made.routers = routers;
         made.life = 1000;
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -44,12 +44,12 @@
 }
 
 Membership make_membership(Number self = 0, int routers = 4) {
-    MembershipConfig start;
-    start.self = self;
-    start.routers = routers;
-    start.life = 1000;
-    start.now = noon_at;
-    return Membership(start);
+    MembershipConfig config;
+    config.self = self;
+    config.routers = routers;
+    config.life = 1000;
+    config.now = noon_at;
+    return Membership(config);
 }
 
 // A datagram of router `from` that carries one account.
