--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -33,7 +33,7 @@
 
 class MergedEndpoints {
 public:
-    MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
+    MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
                     operate::Membership membership);
 
     // What changes for the router: new and changed boxes first, then those that have gone (make before
--- a/src/peers/gossip_queue.hpp
+++ b/src/peers/gossip_queue.hpp
@@ -20,42 +20,43 @@
     // How often each update is sent. It grows with the logarithm of the group size, so that an update
     // reaches all routers with a margin (SWIM, section 4.1).
     int repeat_limit() const { return limit; }
-    void enqueue(Number who, bool urgent) {
+    void enqueue(RouterIndex who, bool urgent) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left == 0) queued.push_back(who);
         entry = {limit, urgent};
     }
     // Another router has sent the same update. Each duplicate takes two repeats off, as in rumour mongering
     // with counters (Demers and others, PODC 1987), so that updates which all know take no more room.
-    void note_duplicate(Number who) {
+    void note_duplicate(RouterIndex who) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left == 0) return;
         entry.repeats_left = std::max(0, entry.repeats_left - 2);
         if (entry.repeats_left == 0) std::erase(queued, who);
     }
     // At most `most` routers, and counts each as sent once: urgent ones first, then those sent least often.
-    std::vector<Number> take_next(std::size_t most) {
-        auto before = [this](Number a, Number b) {
+    std::vector<RouterIndex> take_next(std::size_t most) {
+        auto before = [this](RouterIndex a, RouterIndex b) {
             auto &x = entries[static_cast<std::size_t>(a)], &y = entries[static_cast<std::size_t>(b)];
             return x.urgent != y.urgent ? x.urgent : x.repeats_left > y.repeats_left;
         };
         auto count = std::min(most, queued.size());
         auto end = queued.begin() + static_cast<std::ptrdiff_t>(count);
         std::partial_sort(queued.begin(), end, queued.end(), before);
-        std::vector<Number> taken(queued.begin(), end);
+        std::vector<RouterIndex> taken(queued.begin(), end);
         for (auto who : taken) entries[static_cast<std::size_t>(who)].repeats_left--;
-        std::erase_if(queued,
-                      [&](Number who) { return entries[static_cast<std::size_t>(who)].repeats_left == 0; });
+        std::erase_if(queued, [&](RouterIndex who) {
+            return entries[static_cast<std::size_t>(who)].repeats_left == 0;
+        });
         return taken;
     }
     // Another router still sends an outdated account, so the newer one is sent a few times more.
-    void enqueue_correction(Number who) {
+    void enqueue_correction(RouterIndex who) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left == 0) queued.push_back(who);
         entry = {std::max(entry.repeats_left, 3), true};
     }
     // Undoes one count of take_next() where the datagram had no room for the account.
-    void put_back(Number who) {
+    void put_back(RouterIndex who) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left++ == 0) queued.push_back(who);
     }
@@ -66,8 +67,8 @@
         int repeats_left = 0;
         bool urgent = false;
     };
-    std::vector<Entry> entries;  // by router
-    std::vector<Number> queued;  // routers with repeats left
+    std::vector<Entry> entries;       // by router
+    std::vector<RouterIndex> queued;  // routers with repeats left
     int limit;
 };
 
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -48,7 +48,7 @@
     : self_number(config.self),
       zone(config.zone),
       settings(config.settings),
-      self_state{config.life, Phase::Here, 0, Verdict::Alive, false},
+      self_state{config.life, Phase::Present, 0, Liveness::Alive, false},
       members(static_cast<std::size_t>(config.routers)),
       probe_schedule(config.self, config.routers, config.settings.probe_period),
       suspicions({config.settings.shortest_suspicion, config.settings.longest_suspicion,
@@ -77,25 +77,25 @@
 
 // ---- received datagrams
 
-void Membership::receive(Number from, std::string_view datagram, Micros now) {
+void Membership::receive(RouterIndex from, std::string_view datagram, Micros now) {
     handle_pause(now);
-    if (transfer) transfer->count(datagram.size(), now);
+    if (transfer) transfer->record_traffic(datagram.size(), now);
     if (from < 0) {
-        totals.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+        totals.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
     auto decoded = decode(datagram, routers(), now);
     if (!decoded.message) {
-        totals.dropped[static_cast<std::size_t>(decoded.why)]++;
+        totals.dropped[static_cast<std::size_t>(decoded.drop_reason)]++;
         return;
     }
     // Guards against a sender that uses the number of another router, or the number of this one.
     if (decoded.message->from != from || decoded.message->from == self_number) {
-        totals.dropped[static_cast<std::size_t>(Dropped::Source)]++;
+        totals.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
-    if (!settings.state_transfer && of_state_transfer(decoded.message->kind)) {
-        totals.dropped[static_cast<std::size_t>(Dropped::TransferOff)]++;
+    if (!settings.state_transfer && is_state_transfer(decoded.message->type)) {
+        totals.dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)]++;
         return;
     }
     totals.received++;
@@ -127,116 +127,117 @@
 
 void Membership::process(const Message& message, Micros now) {
     auto& sender = at(message.from);
-    if (message.self.life < sender.member_state.life) {
+    if (message.sender_state.generation < sender.member_state.generation) {
         // Either a late datagram of an earlier life, or a new life whose clock was set back. The latter has
         // to learn of the life that is known here, so that it can choose a higher one.
         Message answer;
-        answer.kind = Kind::Heard;
-        answer.probe = message.probe;
-        if (message.kind == Kind::Ping)
+        answer.type = MessageType::Ack;
+        answer.probe_id = message.probe_id;
+        if (message.type == MessageType::Ping)
             send(message.from, answer, SendPriority::Answer, now, {{message.from, sender.member_state}});
         return;
     }
     last_heard_any = now;
     sender.last_heard = now;
     if (message.zone >= 0) sender.zone = static_cast<std::int16_t>(message.zone);
-    merge_account(Account{message.from, message.self}, message.from, now);
-    if (reachability.heard(message.from, now))
+    merge_account(MemberRecord{message.from, message.sender_state}, message.from, now);
+    if (reachability.record_received(message.from, now))
         report_link(message.from, self_number, false, message.from, now);
 
     if (piggyback && !message.payload.empty())
-        piggyback->unload(message.from, message.self.life, message.payload, now);
-    for (auto& account : message.accounts) merge_account(account, message.from, now);
+        piggyback->unload(message.from, message.sender_state.generation, message.payload, now);
+    for (auto& account : message.records) merge_account(account, message.from, now);
     apply_accusations(message, now);
     // The link reports of a digest are what its sender holds, not updates. Taken as updates, they would keep
     // a cut from ever expiring.
-    if (message.kind != Kind::Digest) apply_link_reports(message, now);
+    if (message.type != MessageType::Digest) apply_link_reports(message, now);
 
     dispatch(message, now);
 }
 
 void Membership::dispatch(const Message& message, Micros now) {
-    switch (message.kind) {
-        case Kind::Ping:
+    switch (message.type) {
+        case MessageType::Ping:
             return answer_ping(message, now);
-        case Kind::Heard:
+        case MessageType::Ack:
             return handle_answer(message, now);
-        case Kind::Ask:
+        case MessageType::PingRequest:
             return start_indirect_probe(message, now);
-        case Kind::No:
+        case MessageType::Nack:
             for (auto& probe : probes)
-                if (probe.id == message.probe && probe.target == message.about) probe.nacks++;
+                if (probe.id == message.probe_id && probe.target == message.target) probe.nacks++;
             return;
-        case Kind::Digest:
+        case MessageType::Digest:
             return compare_digest(message, now);
-        case Kind::News:
+        case MessageType::Gossip:
             return;
-        case Kind::RangeRequest:
+        case MessageType::RangeRequest:
             return answer_range_request(message, now);
-        case Kind::RangePage:
+        case MessageType::RangePage:
             return handle_page(message, now);
     }
 }
 
-void Membership::merge_account(const Account& account, Number by, Micros now, Disseminate disseminate) {
-    if (account.who == self_number) return refute(account.member_state);
-    auto& member = at(account.who);
-    auto joined = join(member.member_state, account.member_state);
+void Membership::merge_account(const MemberRecord& account, RouterIndex by, Micros now,
+                               Disseminate disseminate) {
+    if (account.member == self_number) return refute(account.member_state);
+    auto& member = at(account.member);
+    auto joined = merge(member.member_state, account.member_state);
     if (joined == member.member_state) {
-        if (by == account.who || disseminate == Disseminate::No) return;
+        if (by == account.member || disseminate == Disseminate::No) return;
         if (account.member_state == joined)
-            gossip.note_duplicate(account.who);
+            gossip.note_duplicate(account.member);
         else
-            gossip.enqueue_correction(account.who);  // the sender is behind, and others probably are too
+            gossip.enqueue_correction(account.member);  // the sender is behind, and others probably are too
         return;
     }
     auto before = std::exchange(member.member_state, joined);
     member.changed_at = now;
-    if (before.ill != joined.ill && health_changes.size() < max_kept_changes)
-        health_changes.push_back({account.who, joined.ill});
+    if (before.unhealthy != joined.unhealthy && health_changes.size() < max_kept_changes)
+        health_changes.push_back({account.member, joined.unhealthy});
     std::vector<LinkReport> ended_cuts;
-    if (before.life != joined.life) ended_cuts = reachability.forget(account.who);
-    if (joined.verdict != Verdict::Suspected || before.life != joined.life ||
+    if (before.generation != joined.generation) ended_cuts = reachability.forget(account.member);
+    if (joined.liveness != Liveness::Suspected || before.generation != joined.generation ||
         before.incarnation != joined.incarnation)
-        suspicions.remove(account.who);
+        suspicions.remove(account.member);
     // The accusers follow in the same datagram. The sender of an account does not count as an accuser.
-    if (joined.verdict == Verdict::Suspected && !suspicions.find(account.who))
-        suspicions.accuse(account.who, -1, 0, now);
-    if (disseminate == Disseminate::Yes) enqueue_gossip(account.who, before.life != 0);
-    update_state(account.who, by, now);
+    if (joined.liveness == Liveness::Suspected && !suspicions.find(account.member))
+        suspicions.accuse(account.member, -1, 0, now);
+    if (disseminate == Disseminate::Yes) enqueue_gossip(account.member, before.generation != 0);
+    update_state(account.member, by, now);
     report_ended_cuts(ended_cuts, by, now);
 }
 
 // An accusation refers to an account in the same datagram, and counts only if that
 // account is the one known here.
 void Membership::apply_accusations(const Message& message, Micros now) {
-    for (auto& one : message.accusations) {
-        auto about = std::find_if(message.accounts.begin(), message.accounts.end(),
-                                  [&](auto& account) { return account.who == one.accused; });
-        if (one.accused == self_number || about == message.accounts.end()) continue;
-        auto& known = at(one.accused).member_state;
-        if (known == about->member_state && known.verdict == Verdict::Suspected)
-            accuse(one.accused, one.accuser, one.age, now);
+    for (auto& one : message.suspicions) {
+        auto about = std::find_if(message.records.begin(), message.records.end(),
+                                  [&](auto& account) { return account.member == one.suspect; });
+        if (one.suspect == self_number || about == message.records.end()) continue;
+        auto& known = at(one.suspect).member_state;
+        if (known == about->member_state && known.liveness == Liveness::Suspected)
+            accuse(one.suspect, one.reporter, one.age, now);
     }
 }
 
 void Membership::apply_link_reports(const Message& message, Micros now) {
     for (auto& report : message.link_reports)
-        if (reachability.told(report, at(report.listener).member_state.life, now))
-            report_link(report.speaker, report.listener, report.cut, message.from, now);
+        if (reachability.merge_report(report, at(report.receiver).member_state.generation, now))
+            report_link(report.sender, report.receiver, report.down, message.from, now);
 }
 
 // Handles what others report of this router. It refutes an accusation with a higher incarnation.
 // What this life can't have announced (a later life, a later phase, the highest incarnation)
 // makes it begin a new life.
 void Membership::refute(const MemberState& reported) {
-    if (reported.life < self_state.life) return;
-    if (reported.life > self_state.life || (reported.phase > self_state.phase) ||
+    if (reported.generation < self_state.generation) return;
+    if (reported.generation > self_state.generation || (reported.phase > self_state.phase) ||
         reported.incarnation >= max_incarnation) {
-        self_state.life = std::max(self_state.life, reported.life);
+        self_state.generation = std::max(self_state.generation, reported.generation);
         return begin_new_life();
     }
-    bool accused = reported.incarnation == self_state.incarnation && reported.verdict != Verdict::Alive;
+    bool accused = reported.incarnation == self_state.incarnation && reported.liveness != Liveness::Alive;
     if (reported.incarnation <= self_state.incarnation && !accused) return;
     self_state.incarnation = reported.incarnation;
     totals.refutations++;
@@ -245,7 +246,7 @@
 }
 
 void Membership::begin_new_life() {
-    self_state.life++;
+    self_state.generation++;
     self_state.incarnation = 0;
     at(self_number).member_state = self_state;
     enqueue_gossip(self_number, true);
@@ -287,14 +288,14 @@
         at = std::min(at, one.answered_via_helper ? one.ends_at : std::min(one.next_step_at, one.ends_at));
     for (auto& one : indirect_probes)
         if (!one.settled) at = std::min(at, one.nack_at);
-    if (transfer) at = std::min(at, transfer->due());
+    if (transfer) at = std::min(at, transfer->next_check());
     return at;
 }
 
 // ---- announcements about this router
 
 void Membership::leave(Micros now) {
-    if (self_state.phase != Phase::Here) return;
+    if (self_state.phase != Phase::Present) return;
     self_state.phase = Phase::Leaving;
     raise_incarnation(true);
     send_gossip(4, now);
@@ -308,26 +309,26 @@
 }
 
 void Membership::set_unhealthy(bool yes) {
-    if (self_state.ill == yes) return;
-    self_state.ill = yes;
+    if (self_state.unhealthy == yes) return;
+    self_state.unhealthy = yes;
     raise_incarnation(true);
 }
 
 // ---- queries
 
-State Membership::state(Number who) const { return at(who).state; }
+State Membership::state(RouterIndex who) const { return at(who).state; }
 
-MemberView Membership::view(Number who, Micros now) const {
+MemberView Membership::view(RouterIndex who, Micros now) const {
     auto& member = at(who);
     MemberView view;
     view.state = member.state;
     view.since = member.since;
-    view.unhealthy = member.member_state.ill;
+    view.unhealthy = member.member_state.unhealthy;
     view.zone = member.zone;
     view.member_state = member.member_state;
     view.last_heard = member.last_heard;
-    view.hears_me = !reachability.cut(self_number, who);
-    view.is_heard = !reachability.cut(who, self_number);
+    view.hears_me = !reachability.is_down(self_number, who);
+    view.is_heard = !reachability.is_down(who, self_number);
     // While any router is heard, the lack of updates about one means that nothing has changed. While none is
     // heard, all that is known becomes outdated.
     auto isolation = static_cast<double>(now - std::max(last_heard_any, member.last_heard)) /
@@ -366,7 +367,7 @@
 }
 
 std::size_t Membership::bytes_held() const {
-    auto per_member = sizeof(Member) + sizeof(std::uint16_t) + sizeof(Number) + 8;
+    auto per_member = sizeof(Member) + sizeof(std::uint16_t) + sizeof(RouterIndex) + 8;
     return sizeof *this + members.size() * per_member + suspicions.all().size() * (sizeof(Suspicion) + 64) +
            (transfer ? transfer->bytes_held() : 0);
 }
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -69,10 +69,10 @@
 };
 
 struct MembershipConfig {
-    Number self = 0;
+    RouterIndex self = 0;
     int routers = 1;  // in the group, this one included
     int zone = -1;    // -1: none
-    Life life = 1;
+    Generation life = 1;
     std::uint64_t seed = 1;
     Micros now = 0;
     MembershipSettings settings{};
@@ -90,12 +90,12 @@
 const char* name_of(State state);
 
 struct StateChange {
-    Number who;
+    RouterIndex who;
     State before, after;
     Micros at;
     MemberState member_state;
     // The accuser, helper or sender that caused the change; `who` where its own datagram did; -1: a timeout.
-    Number by;
+    RouterIndex by;
 };
 
 struct MemberView {
@@ -111,7 +111,7 @@
 };
 
 struct HealthChange {
-    Number who;
+    RouterIndex who;
     bool unhealthy;
 };
 
@@ -122,7 +122,7 @@
 };
 
 struct Outgoing {
-    Number to;
+    RouterIndex to;
     std::string bytes;
 };
 
@@ -131,10 +131,10 @@
 public:
     virtual ~Piggyback() = default;
     // Returns at most `room` bytes for `to`, or nothing. They are sent once, and not again if they are lost.
-    virtual std::string load(Number to, std::size_t room, Micros now) = 0;
+    virtual std::string load(RouterIndex to, std::size_t room, Micros now) = 0;
     // Takes payload that was received, before the datagram that carried it is
     // answered. `life` is the sender's.
-    virtual void unload(Number from, Life life, std::string_view bytes, Micros now) = 0;
+    virtual void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) = 0;
 };
 
 // Totals since the start. `withheld`: datagrams that were not sent for lack of bytes; `requests_shed`: range
@@ -143,7 +143,7 @@
     std::uint64_t piggyback_bytes = 0;  // sent
     std::uint64_t sent = 0, bytes_sent = 0, received = 0, withheld = 0, pauses = 0, refutations = 0,
                   accusations = 0;
-    std::array<std::uint64_t, static_cast<std::size_t>(Dropped::Last)> dropped{};
+    std::array<std::uint64_t, static_cast<std::size_t>(DropReason::Count)> dropped{};
     // State transfer.
     std::uint64_t range_requests = 0, pages_accepted = 0, pages_unsolicited = 0, pages_sent = 0,
                   requests_shed = 0;
@@ -154,7 +154,7 @@
     explicit Membership(const MembershipConfig& config);
 
     // Takes a datagram that came from the configured address of router `from`; -1: from any other address.
-    void receive(Number from, std::string_view datagram, Micros now);
+    void receive(RouterIndex from, std::string_view datagram, Micros now);
     void tick(Micros now);           // does what is due by now
     Micros next_tick() const;        // the latest time for the next tick()
     void leave(Micros now);          // on SIGTERM: announces from now on that it is leaving
@@ -174,21 +174,21 @@
     // not cut off, of zone `in_zone` unless that is -1. Returns false where the byte budget allowed none.
     // Urgent ones may use as many bytes as answers to indirect probes.
     bool send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now);
-    bool send_piggyback(Number to, bool urgent, Micros now);
+    bool send_piggyback(RouterIndex to, bool urgent, Micros now);
     // Sends an urgent one to `to`, or has its bytes saved up until the end of the next tick.
-    bool send_piggyback_or_reserve(Number to, Micros now) {
+    bool send_piggyback_or_reserve(RouterIndex to, Micros now) {
         return !(reserves_for_piggyback = !send_piggyback(to, true, now));
     }
     // Bytes that non-urgent datagrams for the payload's sake may use now.
     double spare_bytes(Micros now);
 
-    MemberView view(Number who, Micros now) const;
-    State state(Number who) const;
-    int zone_of(Number who) const { return at(who).zone; }  // -1: not known yet
+    MemberView view(RouterIndex who, Micros now) const;
+    State state(RouterIndex who) const;
+    int zone_of(RouterIndex who) const { return at(who).zone; }  // -1: not known yet
     int own_zone() const { return zone; }
-    Number own_number() const { return self_number; }
+    RouterIndex own_number() const { return self_number; }
     Counts counts() const;
-    std::vector<LinkReport> cuts() const { return reachability.cuts(); }
+    std::vector<LinkReport> cuts() const { return reachability.down_links(); }
     const MemberState& self() const { return self_state; }
     const MembershipCounters& counters() const { return totals; }
     int routers() const { return static_cast<int>(members.size()); }
@@ -210,18 +210,18 @@
     };
     struct Probe {
         std::uint32_t id;
-        Number target;
+        RouterIndex target;
         Micros sent_at, next_step_at;
         Micros asking_until;  // from then on it sends nothing more and only waits for answers
         Micros ends_at;
         bool lacked_bytes = false, answered_via_helper = false;
         int steps = 0, helpers_asked = 0, nacks = 0;
-        Number helper = -1;
+        RouterIndex helper = -1;
     };
     // A probe that another router asked for.
     struct IndirectProbe {
         std::uint32_t id;
-        Number requester, target;
+        RouterIndex requester, target;
         Micros nack_at, ends_at;
         bool settled = false;  // the requester was sent the answer or a NACK
     };
@@ -235,27 +235,27 @@
     void process(const Message& message, Micros now);
     // Whether an account that is new here is gossiped to others.
     enum class Disseminate { Yes, No };
-    void merge_account(const Account& account, Number by, Micros now,
+    void merge_account(const MemberRecord& account, RouterIndex by, Micros now,
                        Disseminate disseminate = Disseminate::Yes);
     void dispatch(const Message& message, Micros now);
     void apply_accusations(const Message& message, Micros now);
     void apply_link_reports(const Message& message, Micros now);
     void refute(const MemberState& reported);
-    void accuse(Number who, Number accuser, Micros age, Micros now);
+    void accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now);
     void check_suspicions(Micros now);
-    bool send_last_call(Number who, Micros now);
+    bool send_last_call(RouterIndex who, Micros now);
     bool chosen_to_ping_accused();
-    void update_state(Number who, Number by, Micros now);
-    void report_link(Number speaker, Number listener, bool cut, Number by, Micros now);
-    void report_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now);
-    State derived_state(Number who) const;
+    void update_state(RouterIndex who, RouterIndex by, Micros now);
+    void report_link(RouterIndex speaker, RouterIndex listener, bool cut, RouterIndex by, Micros now);
+    void report_ended_cuts(const std::vector<LinkReport>& ended_cuts, RouterIndex by, Micros now);
+    State derived_state(RouterIndex who) const;
     void begin_new_life();
     void raise_incarnation(bool urgent);
-    void enqueue_gossip(Number who, bool urgent);
+    void enqueue_gossip(RouterIndex who, bool urgent);
     void send_urgent_gossip(Micros now);
     void send_gossip(std::size_t receivers, Micros now);
 
-    std::vector<Account> corrections_to(const Message& ping) const;
+    std::vector<MemberRecord> corrections_to(const Message& ping) const;
     void answer_ping(const Message& ping, Micros now);
     void handle_answer(const Message& answer, Micros now);
     void relay_answer(const Message& answer, Micros now);
@@ -263,43 +263,44 @@
     void compare_digest(const Message& digest, Micros now);
     bool is_complete(Micros now) const;
     bool suppresses_gossip() const;
-    void fetch_blocks(const std::vector<Number>& starts, Number from, Micros now);
+    void fetch_blocks(const std::vector<RouterIndex>& starts, RouterIndex from, Micros now);
     void request_ranges(Micros now);
-    HelperRank rank_as_helper(Number who) const;
+    HelperRank rank_as_helper(RouterIndex who) const;
     void handle_page(const Message& message, Micros now);
-    bool has_worse_verdict(const Account& account) const;
+    bool has_worse_verdict(const MemberRecord& account) const;
     void answer_range_request(const Message& request, Micros now);
-    Message build_page(Number first, Number end, Micros now) const;
-    bool send_page(Number to, const Message& message, Micros now);
-    void send_busy(Number to, Micros now);
-    bool send_without_gossip(Number to, Message message, SendPriority priority, Micros now);
-    void enqueue_outgoing(Number to, std::string bytes, Micros now);
+    Message build_page(RouterIndex first, RouterIndex end, Micros now) const;
+    bool send_page(RouterIndex to, const Message& message, Micros now);
+    void send_busy(RouterIndex to, Micros now);
+    bool send_without_gossip(RouterIndex to, Message message, SendPriority priority, Micros now);
+    void enqueue_outgoing(RouterIndex to, std::string bytes, Micros now);
     double available_bytes(Micros now);
     void spend_bytes(std::size_t bytes);
 
     void probe_scheduled_target(Micros now);
     void advance_probes(Micros now);
     void send_due_nacks(Micros now);
-    void start_probe(Number target, Micros now);
-    bool awaits_account(Number who) const;
-    bool believed_present(Number who) const;
+    void start_probe(RouterIndex target, Micros now);
+    bool awaits_account(RouterIndex who) const;
+    bool believed_present(RouterIndex who) const;
     void advance_probe(Probe& probe, Micros now);
     void finish_probe(const Probe& probe, Micros now);
     Micros indirect_answer_timeout(Micros now);
     void reprobe_doubtful(Micros now);
     void send_digest(Micros now);
-    std::vector<Number> pick_peers(std::size_t most, Number excluded, int in_zone = -1);
-    bool send(Number to, Message message, SendPriority priority, Micros now,
-              const std::vector<Account>& first = {}, bool for_piggyback = false);
-    void add_updates(Number to, Message& message, const std::vector<Account>& first, double left, Micros now);
-    void add_accusation_of_receiver(Number to, Message& message, Micros now);
+    std::vector<RouterIndex> pick_peers(std::size_t most, RouterIndex excluded, int in_zone = -1);
+    bool send(RouterIndex to, Message message, SendPriority priority, Micros now,
+              const std::vector<MemberRecord>& first = {}, bool for_piggyback = false);
+    void add_updates(RouterIndex to, Message& message, const std::vector<MemberRecord>& first, double left,
+                     Micros now);
+    void add_accusation_of_receiver(RouterIndex to, Message& message, Micros now);
     void add_gossip(Message& message, double room, Micros now);
-    bool add_account(Number who, Message& message, double room, Micros now) const;
-    void add_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now);
-    Member& at(Number who) { return members[static_cast<std::size_t>(who)]; }
-    const Member& at(Number who) const { return members[static_cast<std::size_t>(who)]; }
+    bool add_account(RouterIndex who, Message& message, double room, Micros now) const;
+    void add_payload(RouterIndex to, Message& message, std::string& bytes, double bytes_free, Micros now);
+    Member& at(RouterIndex who) { return members[static_cast<std::size_t>(who)]; }
+    const Member& at(RouterIndex who) const { return members[static_cast<std::size_t>(who)]; }
 
-    Number self_number;
+    RouterIndex self_number;
     int zone;
     MembershipSettings settings;
     MemberState self_state;
@@ -309,10 +310,10 @@
     Reachability reachability;
     GossipQueue gossip;
     LocalHealth local_health;
-    RoundTrips round_trips;
+    RoundTripEstimator round_trips;
     ByteBudget byte_budget;
     std::optional<StateTransfer> transfer;  // set if settings.state_transfer, as is page_server
-    std::optional<PageServer> page_server;
+    std::optional<PageSendBudget> page_server;
     boost::random::taus88 generator;
     std::vector<Probe> probes;
     std::vector<IndirectProbe> indirect_probes;
@@ -327,7 +328,7 @@
     std::int64_t last_slot = -1;
     Micros next_digest_at = 0, next_reprobe_at = 0, next_expiry_at = 0, last_heard_any = 0;
     int early_digests = 0;  // digests to send soon, because the last found differences or this router is new
-    Number digest_start = 0;             // where the next digest starts
+    RouterIndex digest_start = 0;        // where the next digest starts
     bool urgent_gossip_pending = false;  // urgent news that has been sent to nobody yet
 };
 
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -17,11 +17,11 @@
 constexpr int min_blocks_to_fetch = 4;     // differing blocks; the accounts of fewer fit into one answer
 constexpr std::size_t page_tag_bytes = 4;  // field number and length of a page
 
-std::uint32_t hash_of(const MemberState& s, Number who, std::uint32_t seed) {
+std::uint32_t hash_of(const MemberState& s, RouterIndex who, std::uint32_t seed) {
     const std::array<std::uint64_t, 2> words = {
-        s.life, (static_cast<std::uint64_t>(who) << 48) | (static_cast<std::uint64_t>(s.incarnation) << 8) |
-                    (s.ill ? 64U : 0U) | static_cast<std::uint64_t>(s.verdict) * 4 |
-                    static_cast<std::uint64_t>(s.phase)};
+        s.generation, (static_cast<std::uint64_t>(who) << 48) |
+                          (static_cast<std::uint64_t>(s.incarnation) << 8) | (s.unhealthy ? 64U : 0U) |
+                          static_cast<std::uint64_t>(s.liveness) * 4 | static_cast<std::uint64_t>(s.phase)};
     return XXH32(words.data(), sizeof words, seed);
 }
 
@@ -44,35 +44,35 @@
     auto to = pick_peers(1, -1);
     if (to.empty()) return;
     Message digest;
-    digest.kind = Kind::Digest;
-    digest.first = digest_start;
-    auto blocks = (routers() + block - 1) / block;
+    digest.type = MessageType::Digest;
+    digest.first_member = digest_start;
+    auto blocks = (routers() + members_per_digest_hash - 1) / members_per_digest_hash;
     for (int i = 0; i < std::min(blocks, max_hashes); i++) {
         std::uint32_t hash = 0;
-        for (int step = 0; step < block; step++) {
-            auto who = (digest_start + i * block + step) % routers();
+        for (int step = 0; step < members_per_digest_hash; step++) {
+            auto who = (digest_start + i * members_per_digest_hash + step) % routers();
             hash = hash_of(at(who).member_state, who, hash);
         }
         digest.hashes.push_back(hash);
     }
-    if (blocks > max_hashes) digest_start = (digest_start + max_hashes * block) % routers();
-    digest.link_reports = reachability.next_cuts(most_link_reports);
+    if (blocks > max_hashes) digest_start = (digest_start + max_hashes * members_per_digest_hash) % routers();
+    digest.link_reports = reachability.next_down_links(max_link_reports);
     send(to[0], digest, SendPriority::Background, now);
 }
 
 void Membership::compare_digest(const Message& digest, Micros now) {
     if (transferring()) return;
-    std::vector<Account> differing_accounts;
-    std::vector<Number> differing_blocks;
+    std::vector<MemberRecord> differing_accounts;
+    std::vector<RouterIndex> differing_blocks;
     for (std::size_t i = 0; i < digest.hashes.size(); i++) {
         std::uint32_t hash = 0;
-        std::vector<Account> accounts;
-        auto block_start = (digest.first + static_cast<int>(i) * block) % routers();
-        for (int step = 0; step < block; step++) {
+        std::vector<MemberRecord> accounts;
+        auto block_start = (digest.first_member + static_cast<int>(i) * members_per_digest_hash) % routers();
+        for (int step = 0; step < members_per_digest_hash; step++) {
             auto who = (block_start + step) % routers();
             auto& member_state = at(who).member_state;
             hash = hash_of(member_state, who, hash);
-            if (member_state.life > 0 && who != digest.from) accounts.push_back({who, member_state});
+            if (member_state.generation > 0 && who != digest.from) accounts.push_back({who, member_state});
         }
         if (hash == digest.hashes[i]) continue;
         differing_blocks.push_back(block_start);
@@ -81,11 +81,11 @@
     if (transfer) fetch_blocks(differing_blocks, digest.from, now);
     // The accounts that changed last here are the likeliest to be unknown to the sender of the digest.
     std::stable_sort(differing_accounts.begin(), differing_accounts.end(),
-                     [this](auto& a, auto& b) { return at(a.who).changed_at > at(b.who).changed_at; });
+                     [this](auto& a, auto& b) { return at(a.member).changed_at > at(b.member).changed_at; });
     Message reply;
-    reply.kind = Kind::News;
+    reply.type = MessageType::Gossip;
     // Gossip repeats the end of a cut a bounded number of times, so it sometimes misses a router.
-    reply.link_reports = reachability.ended_of(digest.link_reports);
+    reply.link_reports = reachability.recovered_among(digest.link_reports);
     if (differing_accounts.empty() && reply.link_reports.empty()) return;
     if (!differing_accounts.empty()) early_digests = std::min(early_digests + 1, 4);
     // The second half of the answer is drawn at random, so that no account is left out for good.
@@ -106,7 +106,7 @@
 
 // A router that has just started does not gossip: the others know its news already, and gossip would take
 // the bytes of the pages it requests. Where all routers start at once, gossip is needed.
-bool Membership::suppresses_gossip() const { return transferring() && transfer->tier_is_complete(); }
+bool Membership::suppresses_gossip() const { return transferring() && transfer->complete_helper_answered(); }
 
 // Whether a member without an account here is unknown to the other routers too, as
 // far as this router can tell.
@@ -117,63 +117,64 @@
 
 // Requests pages where many blocks differ from those of `from`, as after a partition:
 // gossip would take too long.
-void Membership::fetch_blocks(const std::vector<Number>& starts, Number from, Micros now) {
+void Membership::fetch_blocks(const std::vector<RouterIndex>& starts, RouterIndex from, Micros now) {
     if (static_cast<int>(starts.size()) < min_blocks_to_fetch) return;
-    for (auto start : starts) transfer->refresh(start, std::min(block, routers() - start), from, now);
+    for (auto start : starts)
+        transfer->refresh(start, std::min(members_per_digest_hash, routers() - start), from, now);
 }
 
 void Membership::request_ranges(Micros now) {
     transfer->expire(now);
     bool heard_recently = now - last_heard_any <= settings.probe_period * 3;
     if (transfer->phase() == StateTransfer::Phase::Failed && heard_recently) transfer->begin(now);
-    auto rank = [this](Number who) { return rank_as_helper(who); };
-    while (auto wanted = transfer->next(rank, now)) {
+    auto rank = [this](RouterIndex who) { return rank_as_helper(who); };
+    while (auto wanted = transfer->next_request(rank, now)) {
         Message request;
-        request.kind = Kind::RangeRequest;
-        request.first = wanted->first;
-        request.range_members = wanted->members;
-        request.pages = wanted->pages;
+        request.type = MessageType::RangeRequest;
+        request.first_member = wanted->first_member;
+        request.range_members = wanted->member_count;
+        request.pages = wanted->max_pages;
         if (send_without_gossip(wanted->helper, std::move(request), SendPriority::Answer, now))
             totals.range_requests++;
     }
 }
 
-HelperRank Membership::rank_as_helper(Number who) const {
+HelperRank Membership::rank_as_helper(RouterIndex who) const {
     auto state = at(who).state;
-    if (state == State::Unknown) return HelperRank::Fit;
-    if (state != State::Alive || reachability.cut(self_number, who)) return HelperRank::Unfit;
-    return zone >= 0 && at(who).zone == zone ? HelperRank::Near : HelperRank::Fit;
+    if (state == State::Unknown) return HelperRank::Usable;
+    if (state != State::Alive || reachability.is_down(self_number, who)) return HelperRank::Unusable;
+    return zone >= 0 && at(who).zone == zone ? HelperRank::SameZone : HelperRank::Usable;
 }
 
 void Membership::handle_page(const Message& message, Micros now) {
-    if (!message.page) return transfer->take_busy(message.from, now);
+    if (!message.page) return transfer->accept_busy(message.from, now);
     // Guards against unsolicited pages, and against pages that are too old.
-    if (!transfer->expects(message.from, *message.page, now)) {
+    if (!transfer->is_expected(message.from, *message.page, now)) {
         totals.pages_unsolicited++;
         return;
     }
     totals.pages_accepted++;
-    for (auto& account : message.page->accounts)
+    for (auto& account : message.page->records)
         if (!has_worse_verdict(account)) merge_account(account, message.from, now, Disseminate::No);
-    transfer->take(message.from, *message.page, message.complete, now);
+    transfer->accept_page(message.from, *message.page, message.complete, now);
 }
 
 // Whether the account only brings a worse verdict on the same incarnation. Guards against a wave of false
 // verdicts after a partition: each side has declared the other side dead, and pages from there would make
 // live routers dead here at once. A verdict on a router that is alive here is taken only from gossip, which
 // names the accuser, or from probes of this router.
-bool Membership::has_worse_verdict(const Account& account) const {
-    auto& known = at(account.who).member_state;
+bool Membership::has_worse_verdict(const MemberRecord& account) const {
+    auto& known = at(account.member).member_state;
     auto& reported = account.member_state;
-    return account.who != self_number && known.life == reported.life &&
+    return account.member != self_number && known.generation == reported.generation &&
            known.incarnation == reported.incarnation && known.phase == reported.phase &&
-           known.verdict < reported.verdict;
+           known.liveness < reported.liveness;
 }
 
 // ---- state transfer, as a helper
 
 void Membership::answer_range_request(const Message& request, Micros now) {
-    auto first = request.first, end = request.first + request.range_members;
+    auto first = request.first_member, end = request.first_member + request.range_members;
     for (int i = 0; i < request.pages && first < end; i++) {
         auto answer = build_page(first, end, now);
         if (!answer.page) return;
@@ -186,44 +187,44 @@
     }
 }
 
-Message Membership::build_page(Number first, Number end, Micros now) const {
+Message Membership::build_page(RouterIndex first, RouterIndex end, Micros now) const {
     Message message;
     message.from = self_number;
-    message.self = self_state;
+    message.sender_state = self_state;
     message.zone = zone;
-    message.kind = Kind::RangePage;
+    message.type = MessageType::RangePage;
     message.complete = is_complete(now);
     std::vector<MemberState> states;
-    for (Number who = first; who < std::min(end, first + most_page_members); who++)
+    for (RouterIndex who = first; who < std::min(end, first + max_members_per_page); who++)
         states.push_back(at(who).member_state);
-    message.page = largest_page(first, states, longest - encode(message).size() - page_tag_bytes);
+    message.page = largest_page(first, states, max_datagram_bytes - encode(message).size() - page_tag_bytes);
     return message;
 }
 
-bool Membership::send_page(Number to, const Message& message, Micros now) {
+bool Membership::send_page(RouterIndex to, const Message& message, Micros now) {
     auto bytes = encode(message);
-    if (!page_server->allows(bytes.size(), now)) return false;
+    if (!page_server->allows_page(bytes.size(), now)) return false;
     page_server->spend_page(bytes.size());
     enqueue_outgoing(to, std::move(bytes), now);
     return true;
 }
 
 // Tells the requester to try another helper, which costs it less time than waiting for a timeout.
-void Membership::send_busy(Number to, Micros now) {
+void Membership::send_busy(RouterIndex to, Micros now) {
     totals.requests_shed++;
     Message busy;
-    busy.kind = Kind::RangePage;
+    busy.type = MessageType::RangePage;
     send_without_gossip(to, std::move(busy), SendPriority::Gossip, now);
 }
 
 // Adds no gossip, which would take bytes of the receiver that it needs for pages.
-bool Membership::send_without_gossip(Number to, Message message, SendPriority priority, Micros now) {
+bool Membership::send_without_gossip(RouterIndex to, Message message, SendPriority priority, Micros now) {
     if (available_bytes(now) <= reserve_seconds(priority) * settings.bytes_per_s) {
         totals.withheld++;
         return false;
     }
     message.from = self_number;
-    message.self = self_state;
+    message.sender_state = self_state;
     message.zone = zone;
     auto bytes = encode(message);
     spend_bytes(bytes.size());
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -40,30 +40,30 @@
     }
 }
 
-void Membership::start_probe(Number target, Micros now) {
+void Membership::start_probe(RouterIndex target, Micros now) {
     if (probes.size() >= max_probes) return;
     Message ping;
-    ping.kind = Kind::Ping;
-    ping.probe = next_probe_id;
+    ping.type = MessageType::Ping;
+    ping.probe_id = next_probe_id;
     next_probe_id = next_probe_id % 0x3fff + 1;  // two bytes on the wire
     if (!send(target, ping, SendPriority::Probe, now)) return;
     auto wait = settings.probe_period * local_health.multiplier();
-    probes.push_back({ping.probe, target, now, now + settings.probe_period / 6, now + wait, now + wait});
+    probes.push_back({ping.probe_id, target, now, now + settings.probe_period / 6, now + wait, now + wait});
     // Where one direction is known to be cut, helpers are asked at once, and the ping only finds out
     // whether the cut persists.
-    if (reachability.cut(self_number, target) || reachability.cut(target, self_number))
+    if (reachability.is_down(self_number, target) || reachability.is_down(target, self_number))
         advance_probe(probes.back(), now);
 }
 
 // During state transfer, routers without an account here are not probed: the answers, which bring gossip,
 // would take the bytes of pages.
-bool Membership::awaits_account(Number who) const {
+bool Membership::awaits_account(RouterIndex who) const {
     return transferring() && at(who).state == State::Unknown;
 }
 
 // Whether the router is believed to run, so that a probe without an answer is worth
 // more pings and an accusation.
-bool Membership::believed_present(Number who) const {
+bool Membership::believed_present(RouterIndex who) const {
     auto state = at(who).state;
     return state == State::Alive || state == State::Suspected || state == State::Silent ||
            state == State::Leaving;
@@ -84,23 +84,24 @@
     bool accused = suspicion && !suspicion->probe_before_verdict &&
                    std::count(suspicion->accusers.begin(), suspicion->accusers.end(), self_number);
     if (!believed_present(probe.target) || accused) return;
-    bool cut = reachability.cut(self_number, probe.target) || reachability.cut(probe.target, self_number);
+    bool cut =
+        reachability.is_down(self_number, probe.target) || reachability.is_down(probe.target, self_number);
     if (cut) {
         schedule_step(settings.probe_period / 3 * local_health.multiplier());
         probe.steps++;
     } else {
         Message ping;
-        ping.kind = Kind::Ping;
-        ping.probe = probe.id;
+        ping.type = MessageType::Ping;
+        ping.probe_id = probe.id;
         probe.lacked_bytes |= !send(probe.target, ping, SendPriority::ProbeRetry, now);
     }
     if (probe.steps++ == 0) return;
     for (auto helper : pick_peers(
              static_cast<std::size_t>(probe.steps < 4 ? 1 : settings.indirect_probe_helpers), probe.target)) {
         Message request;
-        request.kind = Kind::Ask;
-        request.probe = probe.id;
-        request.about = probe.target;
+        request.type = MessageType::PingRequest;
+        request.probe_id = probe.id;
+        request.target = probe.target;
         // Only helpers of the first steps are expected to send a NACK; those asked later have no time to.
         bool sent = send(helper, request, SendPriority::ProbeRetry, now);
         probe.lacked_bytes |= !sent;
@@ -111,18 +112,18 @@
 
 // Guards against false accusations of routers that only others can reach, where routers are far apart: the
 // answer to an indirect probe can take longer there than a probe period.
-Micros Membership::indirect_answer_timeout(Micros now) { return 2 * round_trips.longest(now); }
+Micros Membership::indirect_answer_timeout(Micros now) { return 2 * round_trips.max_round_trip(now); }
 
 // Draws at most `most` routers at random, from as many zones as possible: those that are alive here, without
 // a known cut in either direction between them and this router, or between them and `excluded`.
-std::vector<Number> Membership::pick_peers(std::size_t most, Number excluded, int in_zone) {
-    std::vector<Number> candidates;
-    for (Number who = 0; who < routers(); who++)
+std::vector<RouterIndex> Membership::pick_peers(std::size_t most, RouterIndex excluded, int in_zone) {
+    std::vector<RouterIndex> candidates;
+    for (RouterIndex who = 0; who < routers(); who++)
         if (who != self_number && who != excluded && at(who).state == State::Alive &&
-            !reachability.cut(self_number, who) && (in_zone < 0 || at(who).zone == in_zone) &&
-            (excluded < 0 || (!reachability.cut(who, excluded) && !reachability.cut(excluded, who))))
+            !reachability.is_down(self_number, who) && (in_zone < 0 || at(who).zone == in_zone) &&
+            (excluded < 0 || (!reachability.is_down(who, excluded) && !reachability.is_down(excluded, who))))
             candidates.push_back(who);
-    std::vector<Number> picked;
+    std::vector<RouterIndex> picked;
     std::vector<int> zones;
     for (std::size_t i = 0; i < candidates.size() && picked.size() < most && i < 8 * most; i++) {
         boost::random::uniform_int_distribution<std::size_t> draw(i, candidates.size() - 1);
@@ -144,7 +145,7 @@
     if (probe.answered_via_helper) {
         // The target is alive, as a helper hears it. If none of its datagrams came here, its direction may
         // be cut; a cut of the other direction is reported by the target.
-        if (target.last_heard < probe.sent_at && reachability.missed(probe.target, now))
+        if (target.last_heard < probe.sent_at && reachability.record_missed(probe.target, now))
             report_link(probe.target, self_number, true, probe.helper, now);
         return;
     }
@@ -152,7 +153,8 @@
     if (!believed_present(probe.target) || probe.lacked_bytes) return;
     // Where the link is known to be cut one way, this router can't accuse, and others do. The cut expires
     // after a minute without a new report of it.
-    if (reachability.cut(self_number, probe.target) || reachability.cut(probe.target, self_number)) return;
+    if (reachability.is_down(self_number, probe.target) || reachability.is_down(probe.target, self_number))
+        return;
     // A NACK shows that this router is heard; helpers that do not answer lower its local health (Lifeguard).
     if (probe.nacks < probe.helpers_asked || (probe.steps > 1 && probe.helpers_asked == 0))
         local_health.degrade();
@@ -160,7 +162,7 @@
     accuse(probe.target, self_number, 0, now);
     // The accused is told first, so that it can refute before the accusation has spread to many.
     Message news;
-    news.kind = Kind::News;
+    news.type = MessageType::Gossip;
     send(probe.target, news, SendPriority::Answer, now);
 }
 
@@ -169,7 +171,7 @@
 // accused what it has to refute.
 void Membership::reprobe_doubtful(Micros now) {
     int probed = 0;
-    auto reprobe = [&](Number who) {
+    auto reprobe = [&](RouterIndex who) {
         bool under_way = std::any_of(probes.begin(), probes.end(), [&](auto& p) { return p.target == who; });
         if (probed >= max_reprobes || under_way) return;
         probed++;
@@ -178,49 +180,49 @@
     for (auto& [who, one] : suspicions.all())
         if (one.probe_before_verdict || std::count(one.accusers.begin(), one.accusers.end(), self_number))
             reprobe(who);
-    for (Number step = 0; step < routers() && probed < max_reprobes; step++) {
+    for (RouterIndex step = 0; step < routers() && probed < max_reprobes; step++) {
         auto who = (self_number + 1 + step) % routers();
-        if (who != self_number && reachability.doubtful(who)) reprobe(who);
+        if (who != self_number && reachability.needs_another_probe(who)) reprobe(who);
     }
 }
 
 // The accounts in the ping that are out of date, as they are known here.
-std::vector<Account> Membership::corrections_to(const Message& ping) const {
-    std::vector<Account> corrections;
-    for (auto& account : ping.accounts) {
-        auto& known = at(account.who).member_state;
-        bool differs = account.who != self_number && !(known == account.member_state);
-        if (differs && corrections.size() < max_corrections) corrections.push_back({account.who, known});
+std::vector<MemberRecord> Membership::corrections_to(const Message& ping) const {
+    std::vector<MemberRecord> corrections;
+    for (auto& account : ping.records) {
+        auto& known = at(account.member).member_state;
+        bool differs = account.member != self_number && !(known == account.member_state);
+        if (differs && corrections.size() < max_corrections) corrections.push_back({account.member, known});
     }
     return corrections;
 }
 
 void Membership::answer_ping(const Message& ping, Micros now) {
     Message answer;
-    answer.kind = Kind::Heard;
-    answer.probe = ping.probe;
-    if (ping.about < 0 || ping.about == self_number) {
+    answer.type = MessageType::Ack;
+    answer.probe_id = ping.probe_id;
+    if (ping.target < 0 || ping.target == self_number) {
         send(ping.from, answer, SendPriority::Answer, now, corrections_to(ping));
         return;
     }
     // An indirect probe, whose requester has pinged this router directly as well. The answer goes back
     // through the helper and directly, so that both ends learn which directions of their link work.
-    answer.about = ping.about;
-    answer.direct = at(ping.about).last_heard > now - settings.probe_period * 4;
+    answer.target = ping.target;
+    answer.direct_ping_received = at(ping.target).last_heard > now - settings.probe_period * 4;
     send(ping.from, answer, SendPriority::Answer, now);
-    if (!answer.direct && reachability.missed(ping.about, now))
-        report_link(ping.about, self_number, true, ping.from, now);
-    answer.about = -1;
-    send(ping.about, answer, SendPriority::Answer, now);
+    if (!answer.direct_ping_received && reachability.record_missed(ping.target, now))
+        report_link(ping.target, self_number, true, ping.from, now);
+    answer.target = -1;
+    send(ping.target, answer, SendPriority::Answer, now);
 }
 
 void Membership::handle_answer(const Message& answer, Micros now) {
-    if (answer.about >= 0 && answer.about != self_number) return relay_answer(answer, now);
+    if (answer.target >= 0 && answer.target != self_number) return relay_answer(answer, now);
     for (std::size_t i = 0; i < probes.size(); i++) {
         auto& probe = probes[i];
-        if (probe.id != answer.probe) continue;
+        if (probe.id != answer.probe_id) continue;
         if (answer.from == probe.target) {
-            round_trips.measured(now - probe.sent_at, now);
+            round_trips.record(now - probe.sent_at, now);
             if (probe.steps == 0) local_health.improve();
             if (probe.steps > 1 && probe.nacks < probe.helpers_asked) local_health.degrade();
             suspicions.note_probed(probe.target);
@@ -235,12 +237,13 @@
 
 void Membership::relay_answer(const Message& answer, Micros now) {
     for (auto& one : indirect_probes) {
-        if (one.id != answer.probe || one.target != answer.from || one.requester != answer.about) continue;
+        if (one.id != answer.probe_id || one.target != answer.from || one.requester != answer.target)
+            continue;
         Message relayed;
-        relayed.kind = Kind::Heard;
-        relayed.probe = answer.probe;
-        relayed.about = answer.about;
-        relayed.direct = answer.direct;
+        relayed.type = MessageType::Ack;
+        relayed.probe_id = answer.probe_id;
+        relayed.target = answer.target;
+        relayed.direct_ping_received = answer.direct_ping_received;
         send(one.requester, relayed, SendPriority::IndirectProbe, now);
         one.ends_at = now;
         one.settled = true;
@@ -249,25 +252,25 @@
 }
 
 void Membership::start_indirect_probe(const Message& request, Micros now) {
-    if (request.about == self_number || request.about == request.from ||
+    if (request.target == self_number || request.target == request.from ||
         indirect_probes.size() >= max_indirect_probes)
         return;
     Message ping;
-    ping.kind = Kind::Ping;
-    ping.probe = request.probe;
-    ping.about = request.from;
-    if (!send(request.about, ping, SendPriority::IndirectProbe, now)) return;
-    indirect_probes.push_back({request.probe, request.from, request.about, now + settings.probe_period / 6,
-                               now + settings.probe_period * 4});
+    ping.type = MessageType::Ping;
+    ping.probe_id = request.probe_id;
+    ping.target = request.from;
+    if (!send(request.target, ping, SendPriority::IndirectProbe, now)) return;
+    indirect_probes.push_back({request.probe_id, request.from, request.target,
+                               now + settings.probe_period / 6, now + settings.probe_period * 4});
 }
 
 void Membership::send_due_nacks(Micros now) {
     for (auto& one : indirect_probes) {
         if (one.settled || now < one.nack_at) continue;
         Message nack;
-        nack.kind = Kind::No;
-        nack.probe = one.id;
-        nack.about = one.target;
+        nack.type = MessageType::Nack;
+        nack.probe_id = one.id;
+        nack.target = one.target;
         send(one.requester, nack, SendPriority::IndirectProbe, now);
         one.settled = true;
     }
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -21,23 +21,23 @@
 constexpr std::size_t account_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tag_bytes = 18;
 
 std::size_t entry_bytes(const Message& message) {
-    return tag_bytes + message.accounts.size() * account_bytes + message.accusations.size() * accuser_bytes +
+    return tag_bytes + message.records.size() * account_bytes + message.suspicions.size() * accuser_bytes +
            message.link_reports.size() * link_report_bytes;
 }
 
 // Removes entries, the last first, until the datagram is short enough.
 std::string encode_within_limit(Message& message) {
     auto bytes = encode(message);
-    while (bytes.size() > longest) {
-        if (!message.accounts.empty())
-            message.accounts.pop_back();
+    while (bytes.size() > max_datagram_bytes) {
+        if (!message.records.empty())
+            message.records.pop_back();
         else if (!message.link_reports.empty())
             message.link_reports.pop_back();
         else
             message.hashes.pop_back();
-        std::erase_if(message.accusations, [&](auto& one) {
-            return std::none_of(message.accounts.begin(), message.accounts.end(),
-                                [&](auto& account) { return account.who == one.accused; });
+        std::erase_if(message.suspicions, [&](auto& one) {
+            return std::none_of(message.records.begin(), message.records.end(),
+                                [&](auto& account) { return account.member == one.suspect; });
         });
         bytes = encode(message);
     }
@@ -65,7 +65,7 @@
     return 0.7;
 }
 
-void Membership::enqueue_gossip(Number who, bool urgent) {
+void Membership::enqueue_gossip(RouterIndex who, bool urgent) {
     gossip.enqueue(who, urgent);
     urgent_gossip_pending |= urgent;
 }
@@ -83,13 +83,13 @@
 void Membership::send_gossip(std::size_t receivers, Micros now) {
     for (auto who : pick_peers(receivers, -1)) {
         Message news;
-        news.kind = Kind::News;
+        news.type = MessageType::Gossip;
         send(who, news, SendPriority::Answer, now);
     }
 }
 
-bool Membership::send(Number to, Message message, SendPriority priority, Micros now,
-                      const std::vector<Account>& first, bool for_piggyback) {
+bool Membership::send(RouterIndex to, Message message, SendPriority priority, Micros now,
+                      const std::vector<MemberRecord>& first, bool for_piggyback) {
     auto left = available_bytes(now) / settings.bytes_per_s;
     // Guards against probes that use up all bytes while no router is heard, so that urgent payload which
     // only this router has would never be sent.
@@ -101,7 +101,7 @@
         return false;
     }
     message.from = self_number;
-    message.self = self_state;
+    message.sender_state = self_state;
     message.zone = zone;
     add_updates(to, message, first, left, now);
     auto bytes = encode_within_limit(message);
@@ -117,35 +117,35 @@
 
 // Fills the rest of the datagram: first an accusation of the receiver, so that it can refute it; then
 // `first`, or gossip if that is empty.
-void Membership::add_updates(Number to, Message& message, const std::vector<Account>& first, double left,
-                             Micros now) {
+void Membership::add_updates(RouterIndex to, Message& message, const std::vector<MemberRecord>& first,
+                             double left, Micros now) {
     auto base = encode(message).size();
     // One datagram may use a third of the saved bytes.
     auto allowance = std::max(0.0, (left - reserve_seconds(SendPriority::Gossip)) * settings.bytes_per_s / 3);
-    auto room = std::min(static_cast<double>(longest) - static_cast<double>(base), allowance);
-    if (base + accusation_bytes <= longest) add_accusation_of_receiver(to, message, now);
+    auto room = std::min(static_cast<double>(max_datagram_bytes) - static_cast<double>(base), allowance);
+    if (base + accusation_bytes <= max_datagram_bytes) add_accusation_of_receiver(to, message, now);
     bool forced = !first.empty() && first.size() <= max_forced;
-    for (auto& one : first) add_account(one.who, message, forced ? unbounded : room, now);
+    for (auto& one : first) add_account(one.member, message, forced ? unbounded : room, now);
     if (first.empty() && !suppresses_gossip()) add_gossip(message, room, now);
 }
 
 // Guards against a router that never learns of the accusation: it is added even where
 // the byte budget is short.
-void Membership::add_accusation_of_receiver(Number to, Message& message, Micros now) {
+void Membership::add_accusation_of_receiver(RouterIndex to, Message& message, Micros now) {
     auto& member_state = at(to).member_state;
-    if (member_state.life == 0 || member_state.verdict == Verdict::Alive) return;
-    message.accounts.push_back({to, member_state});
+    if (member_state.generation == 0 || member_state.liveness == Liveness::Alive) return;
+    message.records.push_back({to, member_state});
     auto* suspicion = suspicions.find(to);
     if (suspicion && !suspicion->accusers.empty())
-        message.accusations.push_back({to, suspicion->accusers.front(), now - suspicion->since});
+        message.suspicions.push_back({to, suspicion->accusers.front(), now - suspicion->since});
 }
 
 void Membership::add_gossip(Message& message, double room, Micros now) {
     auto spare = room - tag_bytes;
     if (spare <= link_report_bytes) return;
-    if (message.kind != Kind::Digest && message.link_reports.empty())
-        message.link_reports = reachability.to_tell(
-            std::min(most_link_reports, static_cast<std::size_t>(spare / link_report_bytes)),
+    if (message.type != MessageType::Digest && message.link_reports.empty())
+        message.link_reports = reachability.next_reports(
+            std::min(max_link_reports, static_cast<std::size_t>(spare / link_report_bytes)),
             gossip.repeat_limit());
     auto after_reports = spare - static_cast<double>(message.link_reports.size() * link_report_bytes);
     auto places = static_cast<std::size_t>(std::max(0.0, after_reports) / account_bytes);
@@ -155,43 +155,44 @@
 
 // Adds the account, with its accusers if it is suspected. Returns false where it does
 // not fit into `room` bytes.
-bool Membership::add_account(Number who, Message& message, double room, Micros now) const {
+bool Membership::add_account(RouterIndex who, Message& message, double room, Micros now) const {
     auto& member_state = at(who).member_state;
-    if (member_state.life == 0 || who == self_number) return true;
-    bool present = std::any_of(message.accounts.begin(), message.accounts.end(),
-                               [&](auto& one) { return one.who == who; });
+    if (member_state.generation == 0 || who == self_number) return true;
+    bool present = std::any_of(message.records.begin(), message.records.end(),
+                               [&](auto& one) { return one.member == who; });
     if (present) return true;
     if (static_cast<double>(entry_bytes(message) + account_bytes) > room) return false;
-    message.accounts.push_back({who, member_state});
+    message.records.push_back({who, member_state});
     auto* suspicion = suspicions.find(who);
-    if (member_state.verdict != Verdict::Suspected || !suspicion) return true;
+    if (member_state.liveness != Liveness::Suspected || !suspicion) return true;
     for (auto accuser : suspicion->accusers)
-        message.accusations.push_back({who, accuser, now - suspicion->since});
+        message.suspicions.push_back({who, accuser, now - suspicion->since});
     return true;
 }
 
 // Adds at most `bytes_free` bytes of payload, where that is enough to be worth loading. `bytes`: the encoded
 // message, which is encoded anew if payload is added.
-void Membership::add_payload(Number to, Message& message, std::string& bytes, double bytes_free, Micros now) {
-    if (bytes.size() + payload_tag + min_payload > longest) return;
+void Membership::add_payload(RouterIndex to, Message& message, std::string& bytes, double bytes_free,
+                             Micros now) {
+    if (bytes.size() + payload_tag + min_payload > max_datagram_bytes) return;
     auto spare = std::max(0.0, bytes_free - static_cast<double>(bytes.size()));
-    auto free = std::min(longest - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
+    auto free = std::min(max_datagram_bytes - bytes.size() - payload_tag, static_cast<std::size_t>(spare));
     if (free >= min_payload) message.payload = piggyback->load(to, free, now);
     if (message.payload.size() > free) message.payload.clear();
     totals.piggyback_bytes += message.payload.size();
     if (!message.payload.empty()) bytes = encode(message);
 }
 
-void Membership::enqueue_outgoing(Number to, std::string bytes, Micros now) {
+void Membership::enqueue_outgoing(RouterIndex to, std::string bytes, Micros now) {
     totals.sent++;
     totals.bytes_sent += bytes.size();
-    if (transfer) transfer->count(bytes.size(), now);
+    if (transfer) transfer->record_traffic(bytes.size(), now);
     outgoing.push_back({to, std::move(bytes)});
 }
 
-bool Membership::send_piggyback(Number to, bool urgent, Micros now) {
+bool Membership::send_piggyback(RouterIndex to, bool urgent, Micros now) {
     Message news;
-    news.kind = Kind::News;
+    news.type = MessageType::Gossip;
     auto priority = urgent ? SendPriority::IndirectProbe : SendPriority::Background;
     // Guards against datagrams that have no room for the payload they are sent for.
     bool enough =
@@ -203,9 +204,9 @@
 bool Membership::send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now) {
     auto to = pick_peers(most, -1, in_zone);
     // A router that hears no other may still be heard: it sends to those that were alive last.
-    for (Number step = 1; to.empty() && step < routers(); step++) {
+    for (RouterIndex step = 1; to.empty() && step < routers(); step++) {
         auto who =
-            (self_number + static_cast<Number>(generator() % static_cast<unsigned>(routers())) + step) %
+            (self_number + static_cast<RouterIndex>(generator() % static_cast<unsigned>(routers())) + step) %
             routers();
         auto state = at(who).state;
         if (who != self_number &&
@@ -220,12 +221,12 @@
 
 double Membership::available_bytes(Micros now) {
     auto own = byte_budget.available(now);
-    return page_server ? std::min(own, page_server->available(now)) : own;
+    return page_server ? std::min(own, page_server->available_bytes(now)) : own;
 }
 
 void Membership::spend_bytes(std::size_t bytes) {
     byte_budget.spend(bytes);
-    if (page_server) page_server->spend_own(bytes);
+    if (page_server) page_server->spend_membership(bytes);
 }
 
 double Membership::spare_bytes(Micros now) {
--- a/src/peers/membership_suspicion.cpp
+++ b/src/peers/membership_suspicion.cpp
@@ -20,21 +20,22 @@
 
 }  // namespace
 
-void Membership::accuse(Number who, Number accuser, Micros age, Micros now) {
+void Membership::accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now) {
     auto& member = at(who);
     auto& member_state = member.member_state;
-    if (who == self_number || member_state.life == 0 || member_state.phase == Phase::Gone ||
-        member_state.verdict == Verdict::Dead)
+    if (who == self_number || member_state.generation == 0 || member_state.phase == Phase::Gone ||
+        member_state.liveness == Liveness::Dead)
         return;
-    member_state.verdict = Verdict::Suspected;
+    member_state.liveness = Liveness::Suspected;
     // A router whose link to the accused is known to be cut in one direction does not count as an accuser.
-    if (accuser >= 0 && (reachability.cut(accuser, who) || reachability.cut(who, accuser))) accuser = -1;
+    if (accuser >= 0 && (reachability.is_down(accuser, who) || reachability.is_down(who, accuser)))
+        accuser = -1;
     if (suspicions.accuse(who, accuser, age, now)) enqueue_gossip(who, true);
     update_state(who, accuser, now);
 }
 
 void Membership::check_suspicions(Micros now) {
-    std::vector<Number> due, last_calls;
+    std::vector<RouterIndex> due, last_calls;
     for (auto& [who, one] : suspicions.all()) {
         if (!one.probe_before_verdict && now >= suspicions.verdict_at(one, at(who).last_heard))
             due.push_back(who);
@@ -45,8 +46,8 @@
         if (send_last_call(who, now)) suspicions.note_last_call(who, now);
     for (auto who : due) {
         suspicions.remove(who);
-        if (at(who).member_state.verdict != Verdict::Suspected) continue;
-        at(who).member_state.verdict = Verdict::Dead;
+        if (at(who).member_state.liveness != Liveness::Suspected) continue;
+        at(who).member_state.liveness = Liveness::Dead;
         enqueue_gossip(who, true);
         update_state(who, -1, now);
     }
@@ -55,10 +56,10 @@
 // Pings the accused once more, or another router in its place, and some other routers with the accusation,
 // which they correct if they know of a refutation. Guards against a false verdict by a router that alone has
 // missed the refutation. Returns false where nothing could be sent.
-bool Membership::send_last_call(Number who, Micros now) {
+bool Membership::send_last_call(RouterIndex who, Micros now) {
     if (available_bytes(now) <= settings.bytes_per_s * reserve_seconds(SendPriority::Answer)) return false;
     Message ping;
-    ping.kind = Kind::Ping;
+    ping.type = MessageType::Ping;
     bool pings_accused = chosen_to_ping_accused();
     bool sent = pings_accused && send(who, ping, SendPriority::Answer, now);
     for (auto other : pick_peers(pings_accused ? witnesses_with_accused : witnesses_without_accused, who))
@@ -74,17 +75,17 @@
     return draw(generator) < expected_last_pings;
 }
 
-State Membership::derived_state(Number who) const {
+State Membership::derived_state(RouterIndex who) const {
     auto& s = at(who).member_state;
-    if (s.life == 0) return State::Unknown;
+    if (s.generation == 0) return State::Unknown;
     if (s.phase == Phase::Gone) return State::Gone;
-    if (s.verdict == Verdict::Dead) return State::Dead;
+    if (s.liveness == Liveness::Dead) return State::Dead;
     if (s.phase == Phase::Leaving) return State::Leaving;
-    if (s.verdict == Verdict::Suspected) return State::Suspected;
-    return reachability.cut(who, self_number) ? State::Silent : State::Alive;
+    if (s.liveness == Liveness::Suspected) return State::Suspected;
+    return reachability.is_down(who, self_number) ? State::Silent : State::Alive;
 }
 
-void Membership::update_state(Number who, Number by, Micros now) {
+void Membership::update_state(RouterIndex who, RouterIndex by, Micros now) {
     auto& member = at(who);
     auto after = derived_state(who);
     if (after == member.state || who == self_number) return;
@@ -95,14 +96,15 @@
         state_changes.push_back({who, before, after, now, member.member_state, by});
 }
 
-void Membership::report_link(Number speaker, Number listener, bool cut, Number by, Micros now) {
+void Membership::report_link(RouterIndex speaker, RouterIndex listener, bool cut, RouterIndex by,
+                             Micros now) {
     if (new_link_reports.size() < max_kept_changes) new_link_reports.push_back({speaker, listener, 0, cut});
     update_state(speaker, by, now);
 }
 
 // Reports cuts that ended without a datagram of the speaker in the same way as those that a datagram ended.
-void Membership::report_ended_cuts(const std::vector<LinkReport>& ended_cuts, Number by, Micros now) {
-    for (auto& report : ended_cuts) report_link(report.speaker, report.listener, false, by, now);
+void Membership::report_ended_cuts(const std::vector<LinkReport>& ended_cuts, RouterIndex by, Micros now) {
+    for (auto& report : ended_cuts) report_link(report.sender, report.receiver, false, by, now);
 }
 
 }  // namespace quillgrade::peers
--- a/src/peers/suspicion.cpp
+++ b/src/peers/suspicion.cpp
@@ -4,12 +4,12 @@
 
 namespace quillgrade::peers {
 
-const Suspicion* Suspicions::find(Number who) const {
+const Suspicion* Suspicions::find(RouterIndex who) const {
     auto found = open.find(who);
     return found == open.end() ? nullptr : &found->second;
 }
 
-bool Suspicions::accuse(Number who, Number accuser, Micros age, Micros now) {
+bool Suspicions::accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now) {
     // The reported age may be forged, or wrong because of a clock. Half of the shortest time
     // is always left to refute.
     auto since = now - std::clamp<Micros>(age, 0, times.shortest / 2);
@@ -50,7 +50,7 @@
     }
 }
 
-void Suspicions::note_probed(Number who) {
+void Suspicions::note_probed(RouterIndex who) {
     auto found = open.find(who);
     if (found != open.end()) found->second.probe_before_verdict = false;
 }
--- a/src/peers/suspicion.hpp
+++ b/src/peers/suspicion.hpp
@@ -14,7 +14,7 @@
 
 struct Suspicion {
     Micros since = 0;                   // of the first accusation, as far as known
-    std::vector<Number> accusers;       // distinct, at most two
+    std::vector<RouterIndex> accusers;  // distinct, at most two
     bool probe_before_verdict = false;  // this router was paused, and has to probe the accused itself first
     Micros last_call_at = 0;            // of the last pings before the verdict; 0: not sent yet
 };
@@ -29,9 +29,9 @@
 
     // `age`: time since the first accusation, as reported. `accuser`: -1 where it was not reported. True
     // where the accusation is new and worth gossiping.
-    bool accuse(Number who, Number accuser, Micros age, Micros now);
-    void remove(Number who) { open.erase(who); }
-    const Suspicion* find(Number who) const;
+    bool accuse(RouterIndex who, RouterIndex accuser, Micros age, Micros now);
+    void remove(RouterIndex who) { open.erase(who); }
+    const Suspicion* find(RouterIndex who) const;
     // When the time to refute ends, if a last call is made in time. Where the accused itself was heard from
     // at `last_heard`, after the accusation, the time runs from then.
     Micros deadline(const Suspicion& suspicion, Micros last_heard) const;
@@ -43,14 +43,14 @@
     bool wants_last_call(const Suspicion& suspicion, Micros last_heard, Micros now) const;
     // This router was paused for that long: no verdict may rest on what fell into that time.
     void postpone_all(Micros pause);
-    void note_last_call(Number who, Micros now) { open.at(who).last_call_at = now; }
-    void note_probed(Number who);  // a probe of it has ended, with or without an answer
-    const std::map<Number, Suspicion>& all() const { return open; }
+    void note_last_call(RouterIndex who, Micros now) { open.at(who).last_call_at = now; }
+    void note_probed(RouterIndex who);  // a probe of it has ended, with or without an answer
+    const std::map<RouterIndex, Suspicion>& all() const { return open; }
 
 private:
     static constexpr std::size_t max_accusers = 2;
     Times times;
-    std::map<Number, Suspicion> open;
+    std::map<RouterIndex, Suspicion> open;
 };
 
 }  // namespace quillgrade::peers
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -20,12 +20,13 @@
 constexpr Micros clocks_apart = 250 * ms;
 constexpr double spare_datagram = 120;  // bytes, about
 
-QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms, Number self) {
+QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms,
+                         RouterIndex self) {
     QuotaOptions made;
     made.self = self;
     made.routers = membership.routers();
     made.grantors = terms.grantors;
-    made.window = terms.settings.cold_window;
+    made.window = terms.settings.cold_budget_window;
     made.lease_duration = terms.lease_duration;
     made.seed = terms.seed;
     made.now = terms.now.steady;
@@ -39,13 +40,13 @@
                               static_cast<double>(membership.routers()),
                               static_cast<double>(terms.grantors),
                               static_cast<double>(terms.lease_duration),
-                              settings.cold_from,
-                              settings.cold_multiple,
-                              settings.parent_cold_from,
-                              settings.parent_multiple,
-                              static_cast<double>(settings.cold),
-                              static_cast<double>(settings.cold_window),
-                              static_cast<double>(settings.parent_cold)};
+                              settings.cold_initial_share,
+                              settings.cold_budget_multiple,
+                              settings.parent_cold_initial_share,
+                              settings.parent_cold_budget_multiple,
+                              static_cast<double>(settings.cold_period),
+                              static_cast<double>(settings.cold_budget_window),
+                              static_cast<double>(settings.parent_cold_period)};
     return std::max(1U, XXH32(words.data(), sizeof words, 0));
 }
 
@@ -55,7 +56,7 @@
     : membership(membership),
       terms(terms),
       hash(hash_of(membership, terms)),
-      facts(terms.settings.purge_done, membership.routers()),
+      facts(terms.settings.purge_retention, membership.routers()),
       quotas(quota_terms(membership, terms, membership.own_number())),
       request_counts(membership.own_number(), membership.routers()),
       unlike(static_cast<std::size_t>(membership.routers())),
@@ -67,7 +68,7 @@
 
 // ---- what comes
 
-void Exchange::unload(Number from, Life life, std::string_view bytes, Micros /*now*/) {
+void Exchange::unload(RouterIndex from, Generation life, std::string_view bytes, Micros /*now*/) {
     auto load = decode(bytes, last.unix);
     if (load)
         take(from, life, *load, last);
@@ -75,7 +76,7 @@
         seen.malformed++;
 }
 
-void Exchange::take(Number from, Life life, const Payload& load, const ClockReadings& now) {
+void Exchange::take(RouterIndex from, Generation life, const Payload& load, const ClockReadings& now) {
     if (terms.features.facts) {
         for (auto& fact : load.facts) seen.facts_received += facts.receive(fact, now.unix, from);
         if (load.digest != facts.digest(now.unix)) unlike[static_cast<std::size_t>(from)] = true;
@@ -109,15 +110,15 @@
 
 feed::Listing Exchange::apply_listing(feed::Listing told, const ClockReadings& now) {
     last = now;
-    if (terms.features.quotas && terms.settings.ratings_are_links) {
+    if (terms.features.quotas && terms.settings.weights_are_link_rates) {
         // Parents only: all routers share them, so one's part is small. A location's caches have few routers,
         // whose parts are a lookup or more, and what they see answered raises them: pooled they were used
         // less (docs/results.md).
         if (told.complete) cold.clear();
         for (auto& endpoint : told.caches) {
             auto& entry = endpoint.entry;
-            bool warm = entry.started <= 0 || now.unix >= entry.started + parent_cold();
-            if (!is_parent(entry) || entry.listed == Listed::Gone || warm)
+            bool warm = entry.started_at <= 0 || now.unix >= entry.started_at + parent_cold();
+            if (!is_parent(entry) || entry.state == EndpointState::Gone || warm)
                 cold.erase(entry.id);
             else
                 cold[entry.id] = entry;
@@ -136,17 +137,17 @@
         std::vector<ColdServer> told;
         std::erase_if(cold, [&](auto& known) {
             auto& entry = known.second;
-            auto age = now.unix - entry.started;
+            auto age = now.unix - entry.started_at;
             if (age >= parent_cold()) return true;
             // As it stands at the end of a window: what is used now is weighed against all of the window
             // before.
-            auto grown = age + terms.settings.cold_window - clocks_apart;
-            told.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
-                            whole_cold_budget(terms.settings, true, entry.rating, grown)});
+            auto grown = age + terms.settings.cold_budget_window - clocks_apart;
+            told.push_back({entry.id, static_cast<std::uint64_t>(entry.started_at / ms),
+                            total_cold_budget(terms.settings, true, entry.weight, grown)});
             return false;
         });
         quotas.set_cold_servers(told, now.steady);
-        auto there = [&](Number who) {
+        auto there = [&](RouterIndex who) {
             auto state = membership.state(who);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
@@ -196,7 +197,7 @@
     if (now.unix < mend_at) return;
     auto behind = std::find(unlike.begin(), unlike.end(), true);
     if (behind == unlike.end()) return;
-    auto who = static_cast<Number>(behind - unlike.begin());
+    auto who = static_cast<RouterIndex>(behind - unlike.begin());
     if (membership.state(who) != peers::State::Alive)
         *behind = false;  // a datagram of its own says so anew
     else if (membership.send_piggyback_or_reserve(who, now.unix))
@@ -210,8 +211,8 @@
 // Guards against a router whose clock is ahead: by it the cold time would end early, and what it sends until
 // the true end would be bounded by nothing.
 Micros Exchange::parent_cold() const {
-    bool shared = terms.features.quotas && terms.settings.ratings_are_links;
-    return terms.settings.parent_cold + (shared ? clocks_apart : 0);
+    bool shared = terms.features.quotas && terms.settings.weights_are_link_rates;
+    return terms.settings.parent_cold_period + (shared ? clocks_apart : 0);
 }
 
 std::vector<CacheId> Exchange::cold_servers() const {
@@ -238,7 +239,7 @@
 
 // ---- judgements
 
-void Exchange::report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now) {
+void Exchange::report_health(const std::vector<HealthReport>& told, int measured, const ClockReadings& now) {
     if (!terms.features.health_reports) return;
     bool news = false;
     for (auto& one : told)
@@ -246,14 +247,14 @@
                              [&](auto& known) { return known.server == one.server; });
     complaints.clear();
     for (auto& one : told)
-        complaints.push_back(
-            {one.server, static_cast<std::uint32_t>(one.started / ms), one.samples, one.bad, one.slow, 0});
+        complaints.push_back({one.server, static_cast<std::uint32_t>(one.started_at / ms), one.samples,
+                              one.failure_share, one.slowdown, 0});
     breadth = {measured, static_cast<int>(told.size())};
     complaints_at = now.unix;
     if (news) membership.send_piggyback(3, membership.own_zone(), true, now.unix);
 }
 
-Hearsay Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
+PeerHealthReport Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
     return health_reports.aggregate(server, static_cast<std::uint64_t>(started / ms), now.unix);
 }
 
@@ -266,7 +267,7 @@
 int Exchange::alive_routers_in_zone() const {
     if (!terms.features.request_counts) return 1;
     int count = 1;
-    for (Number who = 0; who < membership.routers(); who++)
+    for (RouterIndex who = 0; who < membership.routers(); who++)
         if (who != membership.own_number() && membership.state(who) == peers::State::Alive &&
             membership.zone_of(who) == membership.own_zone())
             count++;
@@ -275,7 +276,7 @@
 
 // ---- what rides along
 
-std::string Exchange::load(Number to, std::size_t room, Micros now) {
+std::string Exchange::load(RouterIndex to, std::size_t room, Micros now) {
     Payload load;
     load.configuration_hash = terms.features.quotas ? hash : 0;
     load.digest = terms.features.facts ? facts.digest(now) : 0;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -39,7 +39,7 @@
 
 struct ExchangeOptions {
     Features features{};
-    Bounds settings{};  // of the settings
+    RoutingSettings settings{};  // of the settings
     int grantors = 4;
     Micros lease_duration = 3'000'000;
     std::uint32_t seed = 1;
@@ -72,16 +72,16 @@
     void record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now);
 
     // What this router holds against servers, as it stands now.
-    void report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now);
-    Hearsay peer_health(CacheId server, Micros started, const ClockReadings& now) const;
+    void report_health(const std::vector<HealthReport>& told, int measured, const ClockReadings& now);
+    PeerHealthReport peer_health(CacheId server, Micros started, const ClockReadings& now) const;
     std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
     // A first part is asked for: how many other routers of the location were asked for it too.
     int count_request(ObjectId object, const ClockReadings& now);
     int alive_routers_in_zone() const;  // of the location, this one included
 
-    std::string load(Number to, std::size_t room, Micros now) override;
-    void unload(Number from, Life life, std::string_view bytes, Micros now) override;
+    std::string load(RouterIndex to, std::size_t room, Micros now) override;
+    void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) override;
 
     struct Counters {
         std::uint64_t malformed = 0, configuration_mismatches = 0, facts_received = 0, counts_received = 0,
@@ -103,9 +103,9 @@
         std::vector<Grant> grants;
         Micros at = 0;
     };
-    void take(Number from, Life life, const Payload& load, const ClockReadings& now);
+    void take(RouterIndex from, Generation life, const Payload& load, const ClockReadings& now);
     void tell_facts(const ClockReadings& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
+    bool is_parent(const EndpointEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
 
     peers::Membership& membership;
     ExchangeOptions terms;
@@ -114,13 +114,13 @@
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
-    std::map<CacheId, ListEntry> cold;
+    std::map<CacheId, EndpointEntry> cold;
     std::map<CacheId, int> zones;  // of the servers complained of
     std::vector<Complaint> complaints;
     Breadth breadth;
     Micros complaints_at = 0, spare_at = 0, mend_at = 0, expire_at = 0, differed_at = 0;
     std::size_t complaint_turn = 0;
-    std::map<Number, Out> out;
+    std::map<RouterIndex, Out> out;
     std::vector<bool> unlike;  // by router: its facts differ from mine
     bool facts_wait = false;   // some are to be told, and the bytes for it are being saved up
     ClockReadings last{};
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -26,8 +26,8 @@
 
 namespace quillgrade::shared {
 
-using peers::Life;
-using peers::Number;
+using peers::Generation;
+using peers::RouterIndex;
 
 struct Complaint {
     CacheId server = 0;
@@ -48,10 +48,10 @@
     static constexpr double max_samples = 4;
     static constexpr std::size_t max_reports = 1024;  // complaints kept
 
-    void receive(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
-                 Micros now);
+    void receive(RouterIndex witness, int zone, double trust, const Breadth& breadth,
+                 const Complaint& complaint, Micros now);
     // `start`: in the list that this router has.
-    Hearsay aggregate(CacheId server, std::uint64_t start, Micros now) const;
+    PeerHealthReport aggregate(CacheId server, std::uint64_t start, Micros now) const;
     // Servers of which anything is held.
     std::vector<CacheId> reported_servers() const;
     void expire(Micros now);
@@ -66,7 +66,7 @@
         double trust;
         bool doubted;
     };
-    std::map<CacheId, std::map<Number, Held>> held;
+    std::map<CacheId, std::map<RouterIndex, Held>> held;
     std::size_t count = 0;
     std::uint64_t seen_refused = 0;
 };
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -27,7 +27,7 @@
             if (change.after == State::Dead && this->sim.runs(change.who)) false_dead++;
         };
     }
-    int count(State state, Number who = -1) const {
+    int count(State state, RouterIndex who = -1) const {
         int sum = 0;
         for (auto& one : seen) sum += one.change.after == state && (who < 0 || one.change.who == who);
         return sum;
@@ -64,12 +64,12 @@
 }
 
 // A datagram of router `from` that carries one account.
-std::string news_with(Simulated<>& sim, Number from, Account account) {
+std::string news_with(Simulated<>& sim, RouterIndex from, MemberRecord account) {
     Message message;
     message.from = from;
-    message.self = sim.protocol(from)->self();
-    message.kind = Kind::News;
-    message.accounts = {account};
+    message.sender_state = sim.protocol(from)->self();
+    message.type = MessageType::Gossip;
+    message.records = {account};
     return encode(message);
 }
 
@@ -78,7 +78,8 @@
 bool restarts_within_period() {
     Simulated<> sim(8, 2, 3, {}, {0.05, 3 * ms, 24 * ms, 0.02, 0.05});
     settle(sim);
-    auto old = news_with(sim, 2, {4, {sim.protocol(4)->self().life, Phase::Here, 90, Verdict::Dead, false}});
+    auto old = news_with(
+        sim, 2, {4, {sim.protocol(4)->self().generation, Phase::Present, 90, Liveness::Dead, false}});
     sim.kill(4);
     sim.run_until(sim.now() + 100 * ms);
     sim.start(4);
@@ -102,11 +103,12 @@
     // A router with an outdated view reports it alive, with an incarnation above its last.
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1)
-            sim.protocol(i)->receive(
-                1,
-                news_with(sim, 1,
-                          {5, {before.life, Phase::Here, before.incarnation + 50, Verdict::Alive, false}}),
-                sim.clock(i));
+            sim.protocol(i)->receive(1,
+                                     news_with(sim, 1,
+                                               {5,
+                                                {before.generation, Phase::Present, before.incarnation + 50,
+                                                 Liveness::Alive, false}}),
+                                     sim.clock(i));
     sim.run_until(sim.now() + 5 * second);
     for (int i = 0; i < 8; i++)
         if (i != 5 && i != 1 && sim.protocol(i)->state(5) != State::Gone) return false;
@@ -172,9 +174,9 @@
 bool unknown_addresses_dropped() {
     Simulated<> sim(5, 1, 15);
     settle(sim);
-    auto life = sim.protocol(4)->self().life;
+    auto life = sim.protocol(4)->self().generation;
     for (int i = 0; i < 4; i++)
-        sim.protocol(i)->receive(-1, news_with(sim, 2, {4, {life, Phase::Gone, 0, Verdict::Alive, false}}),
+        sim.protocol(i)->receive(-1, news_with(sim, 2, {4, {life, Phase::Gone, 0, Liveness::Alive, false}}),
                                  sim.clock(i));
     return sim.protocol(0)->state(4) == State::Alive;
 }
@@ -204,7 +206,7 @@
     int aware = 0;
     for (int i = 0; i < 8; i++) {
         auto cuts = sim.protocol(i)->cuts();
-        aware += cuts.size() == 1 && cuts[0].speaker == 2 && cuts[0].listener == 6;
+        aware += cuts.size() == 1 && cuts[0].sender == 2 && cuts[0].receiver == 6;
     }
     bool held = aware == 8 && sim.protocol(6)->state(2) == State::Silent && recorder.false_dead == 0 &&
                 recorder.count(State::Suspected) == 0 && recorder.seen.size() == 1;
@@ -226,15 +228,15 @@
     settle(sim);
     Message ping;
     ping.from = 1;
-    ping.kind = Kind::Ping;
-    ping.self = sim.protocol(1)->self();
+    ping.type = MessageType::Ping;
+    ping.sender_state = sim.protocol(1)->self();
     auto before = sim.figures(0).bytes_sent;
     for (int i = 0; i < 10'000; i++) {
         sim.protocol(0)->receive(1, encode(ping), sim.clock(0));
         sim.run_until(sim.now() + ms);
     }
     // Ten seconds at 300 bytes/s, and a burst of two seconds.
-    return sim.figures(0).bytes_sent - before <= std::uint64_t{300} * 12 + longest;
+    return sim.figures(0).bytes_sent - before <= std::uint64_t{300} * 12 + max_datagram_bytes;
 }
 
 bool probes_before_verdict() {
@@ -244,15 +246,15 @@
     config.life = 1000;
     Membership membership(config);
     auto now = config.now;
-    auto tell = [&](Number from, Account account, std::vector<Accusation> accusations) {
+    auto tell = [&](RouterIndex from, MemberRecord account, std::vector<SuspicionReport> accusations) {
         Message message;
         message.from = from;
-        message.self = {500, Phase::Here, 0, Verdict::Alive, false};
-        message.accounts = {account};
-        message.accusations = std::move(accusations);
+        message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
+        message.records = {account};
+        message.suspicions = std::move(accusations);
         membership.receive(from, encode(message), now);
     };
-    tell(1, {3, {400, Phase::Here, 0, Verdict::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
+    tell(1, {3, {400, Phase::Present, 0, Liveness::Suspected, false}}, {{3, 1, 0}, {3, 2, 0}});
     auto verdict_due = now + config.settings.shortest_suspicion;
     while (now < verdict_due - 20 * ms) membership.tick(now += 10 * ms);
     now += 5 * second;  // paused just before the verdict would be due
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -44,7 +44,7 @@
     }
     void tell(int router) {
         feed::Endpoint endpoint;
-        endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
+        endpoint.entry = {parent, EndpointState::Ready, 4, 1, 0, 0, started};
         fleet->visit(router, [&](rig::Partner& one) {
             one.exchange().apply_listing({false, {endpoint}}, one.times(fleet->clock(router)));
         });
@@ -77,7 +77,7 @@
     }
     rig::ColdVerdict verdict() const {
         rig::ColdTerms terms;
-        terms.cold = rig::shared_site().parent_cold;
+        terms.cold = rig::shared_site().parent_cold_period;
         return rig::judge(seen, started, fleet->now(), terms, 0);
     }
     bool holds() const {
@@ -86,7 +86,7 @@
                 judged.used_share, " used");
         return judged.exceeded == 0 && judged.lookups > 20;
     }
-    std::vector<Number> owners() const {
+    std::vector<RouterIndex> owners() const {
         QuotaOptions terms;
         terms.routers = fleet->count();
         return Quotas(terms).grantors_of(parent, static_cast<std::uint64_t>(started / ms));
@@ -150,7 +150,7 @@
     }
     Grant lend() {
         borrower->record_unmet_demand(server, 100'000, 100'000, 0);
-        owner->handle_ask(1, 1, borrower->due_asks([](Number) { return true; }, 0).at(0).message, 0);
+        owner->handle_ask(1, 1, borrower->due_asks([](RouterIndex) { return true; }, 0).at(0).message, 0);
         return owner->issue_grants(0).at(0).message;
     }
     CacheId server = 1;
@@ -195,7 +195,7 @@
     terms.now = -1000 * second;
     CacheId server = 1;
     while (Quotas(terms).grantors_of(server, 5)[0] != 0) server++;
-    auto made = [&](Number self) {
+    auto made = [&](RouterIndex self) {
         terms.self = self;
         terms.seed = static_cast<std::uint32_t>(self + 1);
         Quotas quotas(terms);
@@ -204,7 +204,7 @@
     };
     auto owner = made(0), first = made(1);
     first.record_unmet_demand(server, 100'000, 100'000, 0);
-    auto asks = first.due_asks([](Number) { return true; }, 0);
+    auto asks = first.due_asks([](RouterIndex) { return true; }, 0);
     owner.handle_ask(1, 1, asks.at(0).message, 0);
     auto grant = owner.issue_grants(0).at(0).message;
     // It comes when the owner has it back already.
@@ -218,7 +218,7 @@
 bool amounts_invented() {
     Two two(400'000);
     two.borrower->record_unmet_demand(two.server, 100'000, 100'000, 0);
-    auto ask = two.borrower->due_asks([](Number) { return true; }, 0).at(0).message;
+    auto ask = two.borrower->due_asks([](RouterIndex) { return true; }, 0).at(0).message;
     two.borrower->handle_grant(0, {two.server, ask.number, 1e9}, 0);
     return two.borrower->available(two.server, 0) <= 100'000;
 }
@@ -244,8 +244,8 @@
 bool deaf_keeps_closed() {
     ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, 0};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, 0};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.apply_listing({true, {one, other}}, noon_at);
     facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_at);
     facts.tick(0, noon_at);
@@ -255,14 +255,14 @@
 bool next_process_is_open() {
     ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, noon_at};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, noon_at};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.apply_listing({true, {one, other}}, noon_at);
     facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_at);
     facts.tick(0, noon_at);
-    one.entry.started = noon_at + 3 * second;
-    return facts.apply_listing({true, {one, other}}, noon_at + 4 * second).caches[0].entry.listed ==
-           Listed::Ready;
+    one.entry.started_at = noon_at + 3 * second;
+    return facts.apply_listing({true, {one, other}}, noon_at + 4 * second).caches[0].entry.state ==
+           EndpointState::Ready;
 }
 
 bool later_purge_stays() {
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -20,7 +20,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
 constexpr std::uint64_t noon_ms = noon_at / ms;
 
-feed::Endpoint box(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint box(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -38,7 +38,7 @@
     return all;
 }
 
-QuotaOptions terms_of(Number self, int routers = 4, int owners = 1) {
+QuotaOptions terms_of(RouterIndex self, int routers = 4, int owners = 1) {
     QuotaOptions terms;
     terms.self = self;
     terms.routers = routers;
@@ -47,7 +47,7 @@
     return terms;
 }
 // A server that router `owner` alone owns.
-CacheId owned_by(Number owner, int routers = 4) {
+CacheId owned_by(RouterIndex owner, int routers = 4) {
     Quotas quotas(terms_of(0, routers));
     CacheId id = 1;
     while (quotas.grantors_of(id, 5)[0] != owner) id++;
@@ -61,7 +61,7 @@
         borrower.set_cold_servers({{server, 5, whole}}, 0);
     }
     std::vector<Addressed<Ask>> asks(Micros now) {
-        return borrower.due_asks([](Number) { return true; }, now);
+        return borrower.due_asks([](RouterIndex) { return true; }, now);
     }
     // A lease of one lookup, asked for and granted at once.
     bool lend(Micros now, double work = 100'000) {
@@ -100,12 +100,12 @@
     auto changes = facts.tick(0, noon_at);
     REQUIRE(changes.listing.caches.size() == 1);
     CHECK(changes.listing.caches[0].entry.id == 1);
-    CHECK(changes.listing.caches[0].entry.listed == Listed::Draining);
+    CHECK(changes.listing.caches[0].entry.state == EndpointState::Draining);
     CHECK(!changes.listing.complete);
     CHECK(facts.tick(0, noon_at).listing.caches.empty());  // told once
     // A list that has it ready still is narrowed too.
-    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed ==
-          Listed::Draining);
+    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.state ==
+          EndpointState::Draining);
 }
 
 TEST_CASE("a fact about a server that no list names adds none") {
@@ -114,8 +114,8 @@
     facts.receive({FactSubject::Server, 9, 0, true, noon_ms}, noon_at);
     CHECK(facts.tick(0, noon_at).listing.caches.empty());
     // It overtook the list: once the list has it, it counts.
-    CHECK(facts.apply_listing(listing({box(9)}), noon_at + second).caches[0].entry.listed ==
-          Listed::Draining);
+    CHECK(facts.apply_listing(listing({box(9)}), noon_at + second).caches[0].entry.state ==
+          EndpointState::Draining);
 }
 
 TEST_CASE("who hears its coordinator goes by its own list again after a while, who doesn't never") {
@@ -143,19 +143,20 @@
 
 TEST_CASE("what was heard of a server's process is nothing against its next") {
     auto facts = some_facts();
-    facts.apply_listing(listing({box(1, Listed::Ready, noon_at), box(2)}, true), noon_at);
+    facts.apply_listing(listing({box(1, EndpointState::Ready, noon_at), box(2)}, true), noon_at);
     facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_at);
     CHECK(facts.tick(0, noon_at).closed == 1);
-    auto next = facts.apply_listing(listing({box(1, Listed::Ready, noon_at + second), box(2)}, true),
+    auto next = facts.apply_listing(listing({box(1, EndpointState::Ready, noon_at + second), box(2)}, true),
                                     noon_at + 2 * second);
-    CHECK(next.caches[0].entry.listed == Listed::Ready);
+    CHECK(next.caches[0].entry.state == EndpointState::Ready);
     CHECK(facts.tick(0, noon_at + 2 * second).reopened == std::vector<CacheId>{1});
 }
 
 TEST_CASE("a drain that the own coordinator takes back is open at once") {
     auto facts = some_facts();
-    facts.apply_listing(listing({box(1, Listed::Draining), box(2)}, true), noon_at);
-    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Ready);
+    facts.apply_listing(listing({box(1, EndpointState::Draining), box(2)}, true), noon_at);
+    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.state ==
+          EndpointState::Ready);
     CHECK(facts.tick(noon_at, noon_at + second).listing.caches.empty());
 }
 
@@ -231,9 +232,9 @@
     for (CacheId id = 1; id < 50; id++) {
         auto owners = one.grantors_of(id, 5);
         CHECK(owners == other.grantors_of(id, 5));
-        CHECK(std::set<Number>(owners.begin(), owners.end()).size() == 4);
+        CHECK(std::set<RouterIndex>(owners.begin(), owners.end()).size() == 4);
         auto all = few.grantors_of(id, 5);
-        CHECK(std::set<Number>(all.begin(), all.end()).size() == 3);
+        CHECK(std::set<RouterIndex>(all.begin(), all.end()).size() == 3);
     }
 }
 
@@ -369,9 +370,9 @@
         CacheId server = 1 + static_cast<CacheId>(draw(1000));
         double whole = 400'000;
         std::vector<Quotas> all;
-        std::vector<Life> lives(static_cast<std::size_t>(routers), 1);
+        std::vector<Generation> lives(static_cast<std::size_t>(routers), 1);
         std::vector<Micros> skew;  // steady clocks start anywhere
-        for (Number i = 0; i < routers; i++) {
+        for (RouterIndex i = 0; i < routers; i++) {
             auto terms = terms_of(i, routers, owners);
             terms.seed = chance();
             all.emplace_back(terms);
@@ -380,8 +381,8 @@
         }
         struct Flying {
             Micros at;
-            Number from, to;
-            Life life;
+            RouterIndex from, to;
+            Generation life;
             std::optional<Ask> ask;
             std::optional<Grant> grant;
         };
@@ -413,8 +414,8 @@
                         flying.push_back(one);
                     }
                 };
-                auto self = static_cast<Number>(i);
-                for (auto& [to, ask] : quotas.due_asks([](Number) { return true; }, clock))
+                auto self = static_cast<RouterIndex>(i);
+                for (auto& [to, ask] : quotas.due_asks([](RouterIndex) { return true; }, clock))
                     post({0, self, to, lives[i], ask, {}});
                 for (auto& [to, grant] : quotas.issue_grants(clock)) post({0, self, to, lives[i], {}, grant});
                 if (draw(2000) == 0) {
@@ -462,7 +463,7 @@
     health_reports.receive(2, 1, 1, {4, 1}, slow, noon_at);
     auto fresh = health_reports.aggregate(5, 0, noon_at);
     CHECK(fresh.samples == 6);
-    CHECK(fresh.slow == 6.0);
+    CHECK(fresh.slowdown == 6.0);
     auto later = health_reports.aggregate(5, 0, noon_at + HealthReports::half_life);
     CHECK(later.samples == doctest::Approx(3));
     CHECK(health_reports.aggregate(5, 0, noon_at + HealthReports::report_lifetime).samples == 0);
@@ -474,7 +475,7 @@
 TEST_CASE("witnesses in different zones count more than as many in one") {
     HealthReports one_zone, many;
     Complaint bad{5, 0, 4, 1, 0, 0};
-    for (Number i = 0; i < 4; i++) {
+    for (RouterIndex i = 0; i < 4; i++) {
         one_zone.receive(i, 0, 1, {4, 1}, bad, noon_at);
         many.receive(i, i, 1, {4, 1}, bad, noon_at);
     }
@@ -497,33 +498,33 @@
     health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_at);
     health_reports.receive(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_at);
     health_reports.receive(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_at);
-    CHECK(health_reports.aggregate(5, 0, noon_at).slow == 3.2);
+    CHECK(health_reports.aggregate(5, 0, noon_at).slowdown == 3.2);
 }
 
 TEST_CASE("hearsay speaks only where own samples are few, and own samples beat it") {
     auto module = router();
     auto* server = find_server(module, 1);
-    server->hearsay = {8, 0.9, 0};
-    CHECK(std::string(complaint(module, *server, noon)) == "failing, by hearsay");
-    server->judged_at = 0;
-    server->hearsay = {8, 0, 4};
-    CHECK(std::string(complaint(module, *server, noon)) == "slow, by hearsay");
-    server->judged_at = 0;
-    for (int i = 0; i < 8; i++) server->verdicts.push_back({noon, 0});
-    CHECK(complaint(module, *server, noon) == nullptr);
-    server->judged_at = 0;
-    server->verdicts.clear();
-    server->hearsay = {5, 1, 9};  // too few
-    CHECK(complaint(module, *server, noon) == nullptr);
+    server->peer_report = {8, 0.9, 0};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "failing, by hearsay");
+    server->evaluated_at = 0;
+    server->peer_report = {8, 0, 4};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "slow, by hearsay");
+    server->evaluated_at = 0;
+    for (int i = 0; i < 8; i++) server->failures.push_back({noon, 0});
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
+    server->evaluated_at = 0;
+    server->failures.clear();
+    server->peer_report = {5, 1, 9};  // too few
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
 }
 
 TEST_CASE("a location's last path stays, whatever others say") {
     auto module = router();
-    for (CacheId id : {1, 2, 3}) find_server(module, id)->hearsay = {20, 1, 20};
-    for (auto& server : module.servers) server.last_trial = noon;
-    auto handle = module.take(lookup(1), noon);
-    auto answer = handle.place(noon + 1);
-    CHECK(answer.final == Final::None);
+    for (CacheId id : {1, 2, 3}) find_server(module, id)->peer_report = {20, 1, 20};
+    for (auto& server : module.servers) server.last_half_open_probe_at = noon;
+    auto handle = module.add_lookup(lookup(1), noon);
+    auto answer = handle.first_attempt(noon + 1);
+    CHECK(answer.final_result == FinalResult::None);
     CHECK(answer.send);
 }
 
@@ -532,17 +533,17 @@
     for (CacheId id : {1, 2, 3})
         for (int i = 0; i < 2; i++) {
             find_server(module, id)->slowness.push_back({noon, id == 2 ? 9.0 : 1.2});
-            find_server(module, id)->verdicts.push_back({noon, 0});
+            find_server(module, id)->failures.push_back({noon, 0});
         }
-    auto told = module.witnessed(noon);
+    auto told = module.health_reports(noon);
     REQUIRE(told.size() == 1);
     CHECK(told[0].server == 2);
-    CHECK(told[0].slow == doctest::Approx(7.5));
-    CHECK(module.measured(noon) == 3);
+    CHECK(told[0].slowdown == doctest::Approx(7.5));
+    CHECK(module.measured_servers(noon) == 3);
     // What all share is no complaint.
     for (CacheId id : {1, 3})
         for (auto& sample : find_server(module, id)->slowness) sample.value = 9;
-    CHECK(module.witnessed(noon).empty());
+    CHECK(module.health_reports(noon).empty());
 }
 
 // ---- counts
@@ -551,11 +552,11 @@
     constexpr int routers = 40;
     std::vector<RequestCounts> all;
     all.reserve(routers);
-    for (Number i = 0; i < routers; i++) all.emplace_back(i, routers);
+    for (RouterIndex i = 0; i < routers; i++) all.emplace_back(i, routers);
     std::mt19937 chance(5);
-    std::map<std::uint64_t, std::set<Number>> truly;
+    std::map<std::uint64_t, std::set<RouterIndex>> truly;
     for (int step = 0; step < 4000; step++) {
-        auto who = static_cast<Number>(chance() % routers);
+        auto who = static_cast<RouterIndex>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
         all[static_cast<std::size_t>(who)].count_request(name, noon_at);
         truly[name].insert(who);
@@ -579,7 +580,7 @@
 TEST_CASE("an epoch that is over counts half, then nothing, and counts of a life long over are dropped") {
     RequestCounts request_counts(0, 40);
     std::uint32_t six = 0;
-    for (Number i = 1; std::popcount(six) < 6; i++)
+    for (RouterIndex i = 1; std::popcount(six) < 6; i++)
         if (RequestCounts::bit_of(i) != RequestCounts::bit_of(0)) six |= RequestCounts::bit_of(i);
     auto epoch = RequestCounts::epoch_of(noon_at);
     CHECK(request_counts.receive({7, epoch, six}, noon_at));
@@ -612,7 +613,7 @@
     double last = module.p();
     CHECK(last == 0.5);
     for (int heard = 2; heard <= 40; heard++) {
-        module.heard = heard;
+        module.counting_routers = heard;
         CHECK(module.p() >= last);
         CHECK(module.p() - last <= 0.5);
         last = module.p();
@@ -713,14 +714,14 @@
     terms.now = {noon_at, 1000 * second};
     Exchange exchange(membership, terms);
     feed::Endpoint parent;
-    parent.entry = {101, Listed::Ready, 4, terms.settings.parent_kind, 0, 0, noon_at};
+    parent.entry = {101, EndpointState::Ready, 4, terms.settings.parent_kind, 0, 0, noon_at};
     auto at = [&](Micros age) { return ClockReadings{noon_at + age, 1000 * second + age}; };
     auto is_shared = [&](Micros age) {
         exchange.tick(1, at(age));
         return exchange.available_quota(101, at(age)) >= 0;
     };
     exchange.apply_listing(listing({parent}), at(0));
-    const auto cold = terms.settings.parent_cold;
+    const auto cold = terms.settings.parent_cold_period;
     CHECK(exchange.parent_cold() == cold + ahead);
     CHECK(is_shared(cold - ms));
     CHECK(is_shared(cold + ahead - ms));
@@ -741,11 +742,11 @@
         peers::Membership membership(start);
         ExchangeOptions terms;
         terms.settings = rig::shared_site();
-        terms.settings.ratings_are_links = links;
+        terms.settings.weights_are_link_rates = links;
         terms.features.quotas = !links;
         terms.now = {noon_at, 1000 * second};
         Exchange exchange(membership, terms);
-        CHECK(exchange.parent_cold() == terms.settings.parent_cold);
+        CHECK(exchange.parent_cold() == terms.settings.parent_cold_period);
     }
 }
 
@@ -754,15 +755,15 @@
 TEST_CASE("a cold server gets what the right allows, used up by what is sent") {
     auto module = router();
     auto entry_of = entry(11, 1, 0);
-    entry_of.started = noon;
-    module.list({entry_of}, false, noon);
+    entry_of.started_at = noon;
+    module.update_endpoints({entry_of}, false, noon);
     auto* parent = find_server(module, 11);
-    parent->right = 250 * test_ms;
+    parent->quota = 250 * test_ms;
     double work = 100 * test_ms;
     CHECK(within_cold_budget(module, *parent, work, noon + 1));
-    CHECK(parent->wanted == work);
-    parent->right = 99 * test_ms;
+    CHECK(parent->quota_demand == work);
+    parent->quota = 99 * test_ms;
     CHECK(!within_cold_budget(module, *parent, work, noon + 1));
-    parent->right = -1;  // not shared: its own part of the whole
+    parent->quota = -1;  // not shared: its own part of the whole
     CHECK(!within_cold_budget(module, *parent, 1000 * work, noon + 1));
 }
