--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -40,7 +40,7 @@
     start.self = all.self;
     start.routers = static_cast<int>(all.all.size());
     start.zone = all.zone;
-    start.life = static_cast<peers::Generation>(now / 1000);
+    start.generation = static_cast<peers::Generation>(now / 1000);
     start.seed = seed;
     start.now = now;
     start.settings.probe_period = plan.probe_interval;
--- a/src/peers/gossip_queue.hpp
+++ b/src/peers/gossip_queue.hpp
@@ -1,6 +1,6 @@
-// The accounts that still have to be gossiped, and how often each has been sent. Memory is
+// The records that still have to be gossiped, and how often each has been sent. Memory is
 // one entry a router. The queue holds router numbers only: the caller writes the newest
-// account of a router when it sends.
+// record of a router when it sends.
 #pragma once
 
 #include <algorithm>
@@ -49,13 +49,13 @@
         });
         return taken;
     }
-    // Another router still sends an outdated account, so the newer one is sent a few times more.
+    // Another router still sends an outdated record, so the newer one is sent a few times more.
     void enqueue_correction(RouterIndex who) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left == 0) queued.push_back(who);
         entry = {std::max(entry.repeats_left, 3), true};
     }
-    // Undoes one count of take_next() where the datagram had no room for the account.
+    // Undoes one count of take_next() where the datagram had no room for the record.
     void put_back(RouterIndex who) {
         auto& entry = entries[static_cast<std::size_t>(who)];
         if (entry.repeats_left++ == 0) queued.push_back(who);
--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -48,7 +48,7 @@
     : self_number(config.self),
       zone(config.zone),
       settings(config.settings),
-      self_state{config.life, Phase::Present, 0, Liveness::Alive, false},
+      self_state{config.generation, Phase::Present, 0, Liveness::Alive, false},
       members(static_cast<std::size_t>(config.routers)),
       probe_schedule(config.self, config.routers, config.settings.probe_period),
       suspicions({config.settings.shortest_suspicion, config.settings.longest_suspicion,
@@ -58,13 +58,13 @@
       local_health(config.settings.longest_pause, config.now),
       round_trips(config.settings.probe_period, config.now),
       byte_budget(budget_of(config.settings, config.now)),
-      generator(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32) ^ config.life)),
+      generator(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32) ^ config.generation)),
       last_slot(probe_schedule.slot(config.now)),
       next_digest_at(config.now),
       early_digests(8) {
     if (settings.state_transfer) {
-        transfer.emplace(self_number, config.routers, static_cast<std::uint32_t>(config.seed ^ config.life),
-                         config.now);
+        transfer.emplace(self_number, config.routers,
+                         static_cast<std::uint32_t>(config.seed ^ config.generation), config.now);
         page_server.emplace(settings.bytes_per_s, config.now);
         early_digests = 0;
     }
@@ -128,8 +128,8 @@
 void Membership::process(const Message& message, Micros now) {
     auto& sender = at(message.from);
     if (message.sender_state.generation < sender.member_state.generation) {
-        // Either a late datagram of an earlier life, or a new life whose clock was set back. The latter has
-        // to learn of the life that is known here, so that it can choose a higher one.
+        // Either a late datagram of an earlier generation, or a new generation whose clock was set back. The
+        // latter has to learn of the generation that is known here, so that it can choose a higher one.
         Message answer;
         answer.type = MessageType::Ack;
         answer.probe_id = message.probe_id;
@@ -140,13 +140,13 @@
     last_heard_any = now;
     sender.last_heard = now;
     if (message.zone >= 0) sender.zone = static_cast<std::int16_t>(message.zone);
-    merge_account(MemberRecord{message.from, message.sender_state}, message.from, now);
+    merge_record(MemberRecord{message.from, message.sender_state}, message.from, now);
     if (reachability.record_received(message.from, now))
         report_link(message.from, self_number, false, message.from, now);
 
     if (piggyback && !message.payload.empty())
         piggyback->unload(message.from, message.sender_state.generation, message.payload, now);
-    for (auto& account : message.records) merge_account(account, message.from, now);
+    for (auto& record : message.records) merge_record(record, message.from, now);
     apply_accusations(message, now);
     // The link reports of a digest are what its sender holds, not updates. Taken as updates, they would keep
     // a cut from ever expiring.
@@ -178,42 +178,42 @@
     }
 }
 
-void Membership::merge_account(const MemberRecord& account, RouterIndex by, Micros now,
-                               Disseminate disseminate) {
-    if (account.member == self_number) return refute(account.member_state);
-    auto& member = at(account.member);
-    auto joined = merge(member.member_state, account.member_state);
+void Membership::merge_record(const MemberRecord& record, RouterIndex by, Micros now,
+                              Disseminate disseminate) {
+    if (record.member == self_number) return refute(record.member_state);
+    auto& member = at(record.member);
+    auto joined = merge(member.member_state, record.member_state);
     if (joined == member.member_state) {
-        if (by == account.member || disseminate == Disseminate::No) return;
-        if (account.member_state == joined)
-            gossip.note_duplicate(account.member);
+        if (by == record.member || disseminate == Disseminate::No) return;
+        if (record.member_state == joined)
+            gossip.note_duplicate(record.member);
         else
-            gossip.enqueue_correction(account.member);  // the sender is behind, and others probably are too
+            gossip.enqueue_correction(record.member);  // the sender is behind, and others probably are too
         return;
     }
     auto before = std::exchange(member.member_state, joined);
     member.changed_at = now;
     if (before.unhealthy != joined.unhealthy && health_changes.size() < max_kept_changes)
-        health_changes.push_back({account.member, joined.unhealthy});
+        health_changes.push_back({record.member, joined.unhealthy});
     std::vector<LinkReport> ended_cuts;
-    if (before.generation != joined.generation) ended_cuts = reachability.forget(account.member);
+    if (before.generation != joined.generation) ended_cuts = reachability.forget(record.member);
     if (joined.liveness != Liveness::Suspected || before.generation != joined.generation ||
         before.incarnation != joined.incarnation)
-        suspicions.remove(account.member);
-    // The accusers follow in the same datagram. The sender of an account does not count as an accuser.
-    if (joined.liveness == Liveness::Suspected && !suspicions.find(account.member))
-        suspicions.accuse(account.member, -1, 0, now);
-    if (disseminate == Disseminate::Yes) enqueue_gossip(account.member, before.generation != 0);
-    update_state(account.member, by, now);
+        suspicions.remove(record.member);
+    // The accusers follow in the same datagram. The sender of a record does not count as an accuser.
+    if (joined.liveness == Liveness::Suspected && !suspicions.find(record.member))
+        suspicions.accuse(record.member, -1, 0, now);
+    if (disseminate == Disseminate::Yes) enqueue_gossip(record.member, before.generation != 0);
+    update_state(record.member, by, now);
     report_ended_cuts(ended_cuts, by, now);
 }
 
-// An accusation refers to an account in the same datagram, and counts only if that
-// account is the one known here.
+// An accusation refers to a record in the same datagram, and counts only if that
+// record is the one known here.
 void Membership::apply_accusations(const Message& message, Micros now) {
     for (auto& one : message.suspicions) {
         auto about = std::find_if(message.records.begin(), message.records.end(),
-                                  [&](auto& account) { return account.member == one.suspect; });
+                                  [&](auto& record) { return record.member == one.suspect; });
         if (one.suspect == self_number || about == message.records.end()) continue;
         auto& known = at(one.suspect).member_state;
         if (known == about->member_state && known.liveness == Liveness::Suspected)
@@ -227,15 +227,15 @@
             report_link(report.sender, report.receiver, report.down, message.from, now);
 }
 
-// Handles what others report of this router. It refutes an accusation with a higher incarnation.
-// What this life can't have announced (a later life, a later phase, the highest incarnation)
-// makes it begin a new life.
+// Handles what others report of this router. It refutes an accusation with a higher incarnation. What
+// this generation can't have announced (a later generation, a later phase, the highest incarnation) makes
+// it begin a new generation.
 void Membership::refute(const MemberState& reported) {
     if (reported.generation < self_state.generation) return;
     if (reported.generation > self_state.generation || (reported.phase > self_state.phase) ||
         reported.incarnation >= max_incarnation) {
         self_state.generation = std::max(self_state.generation, reported.generation);
-        return begin_new_life();
+        return begin_new_generation();
     }
     bool accused = reported.incarnation == self_state.incarnation && reported.liveness != Liveness::Alive;
     if (reported.incarnation <= self_state.incarnation && !accused) return;
@@ -245,7 +245,7 @@
     raise_incarnation(true);
 }
 
-void Membership::begin_new_life() {
+void Membership::begin_new_generation() {
     self_state.generation++;
     self_state.incarnation = 0;
     at(self_number).member_state = self_state;
@@ -253,7 +253,7 @@
 }
 
 void Membership::raise_incarnation(bool urgent) {
-    if (self_state.incarnation + 1 >= max_incarnation) return begin_new_life();
+    if (self_state.incarnation + 1 >= max_incarnation) return begin_new_generation();
     self_state.incarnation++;
     at(self_number).member_state = self_state;
     enqueue_gossip(self_number, urgent);
--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -14,8 +14,8 @@
 // - No state proves that a router is gone: a partition looks like death to both of its sides, and a paused
 //   router looks dead to all. So no router may take a larger share because others seem dead. Divide an
 //   amount by the configured number of routers, or lend it with an end; never divide it by
-//   counts().at_least. Only `Gone` is certain: the router announced it, for one life, and may start a new
-//   life at any time.
+//   counts().at_least. Only `Gone` is certain: the router announced it, for one generation, and may start a
+//   new generation at any time.
 //
 // - A live router that can be reached through any other stays out of `Dead` while datagrams are lost or
 //   late. If it was declared dead, it returns by itself once it can be reached again.
@@ -72,14 +72,14 @@
     RouterIndex self = 0;
     int routers = 1;  // in the group, this one included
     int zone = -1;    // -1: none
-    Generation life = 1;
+    Generation generation = 1;
     std::uint64_t seed = 1;
     Micros now = 0;
     MembershipSettings settings{};
 };
 
 enum class State {
-    Unknown,  // no account of it has come since this router started
+    Unknown,  // no record of it has come since this router started
     Alive,
     Suspected,  // accused, and may still refute
     Silent,     // alive, as other routers hear it, but its own datagrams do not reach this router
@@ -132,9 +132,9 @@
     virtual ~Piggyback() = default;
     // Returns at most `room` bytes for `to`, or nothing. They are sent once, and not again if they are lost.
     virtual std::string load(RouterIndex to, std::size_t room, Micros now) = 0;
-    // Takes payload that was received, before the datagram that carried it is
-    // answered. `life` is the sender's.
-    virtual void unload(RouterIndex from, Generation life, std::string_view bytes, Micros now) = 0;
+    // Takes payload that was received, before the datagram that carried it is answered.
+    // `generation` is the sender's.
+    virtual void unload(RouterIndex from, Generation generation, std::string_view bytes, Micros now) = 0;
 };
 
 // Totals since the start. `withheld`: datagrams that were not sent for lack of bytes; `requests_shed`: range
@@ -193,7 +193,7 @@
     const MembershipCounters& counters() const { return totals; }
     int routers() const { return static_cast<int>(members.size()); }
     std::size_t bytes_held() const;
-    // Whether it is still fetching the accounts of the others, after its start or a long pause. Always false
+    // Whether it is still fetching the records of the others, after its start or a long pause. Always false
     // without MembershipSettings::state_transfer.
     bool transferring() const;
 
@@ -233,10 +233,10 @@
 
     void handle_pause(Micros now);
     void process(const Message& message, Micros now);
-    // Whether an account that is new here is gossiped to others.
+    // Whether a record that is new here is gossiped to others.
     enum class Disseminate { Yes, No };
-    void merge_account(const MemberRecord& account, RouterIndex by, Micros now,
-                       Disseminate disseminate = Disseminate::Yes);
+    void merge_record(const MemberRecord& record, RouterIndex by, Micros now,
+                      Disseminate disseminate = Disseminate::Yes);
     void dispatch(const Message& message, Micros now);
     void apply_accusations(const Message& message, Micros now);
     void apply_link_reports(const Message& message, Micros now);
@@ -249,7 +249,7 @@
     void report_link(RouterIndex speaker, RouterIndex listener, bool cut, RouterIndex by, Micros now);
     void report_ended_cuts(const std::vector<LinkReport>& ended_cuts, RouterIndex by, Micros now);
     State derived_state(RouterIndex who) const;
-    void begin_new_life();
+    void begin_new_generation();
     void raise_incarnation(bool urgent);
     void enqueue_gossip(RouterIndex who, bool urgent);
     void send_urgent_gossip(Micros now);
@@ -267,7 +267,7 @@
     void request_ranges(Micros now);
     HelperRank rank_as_helper(RouterIndex who) const;
     void handle_page(const Message& message, Micros now);
-    bool has_worse_verdict(const MemberRecord& account) const;
+    bool has_worse_verdict(const MemberRecord& record) const;
     void answer_range_request(const Message& request, Micros now);
     Message build_page(RouterIndex first, RouterIndex end, Micros now) const;
     bool send_page(RouterIndex to, const Message& message, Micros now);
@@ -281,7 +281,7 @@
     void advance_probes(Micros now);
     void send_due_nacks(Micros now);
     void start_probe(RouterIndex target, Micros now);
-    bool awaits_account(RouterIndex who) const;
+    bool awaits_record(RouterIndex who) const;
     bool believed_present(RouterIndex who) const;
     void advance_probe(Probe& probe, Micros now);
     void finish_probe(const Probe& probe, Micros now);
@@ -295,7 +295,7 @@
                      Micros now);
     void add_accusation_of_receiver(RouterIndex to, Message& message, Micros now);
     void add_gossip(Message& message, double room, Micros now);
-    bool add_account(RouterIndex who, Message& message, double room, Micros now) const;
+    bool add_record(RouterIndex who, Message& message, double room, Micros now) const;
     void add_payload(RouterIndex to, Message& message, std::string& bytes, double bytes_free, Micros now);
     Member& at(RouterIndex who) { return members[static_cast<std::size_t>(who)]; }
     const Member& at(RouterIndex who) const { return members[static_cast<std::size_t>(who)]; }
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr int max_hashes = 48;             // in a digest, so that it fits into a datagram with its header
-constexpr int max_answer_accounts = 20;    // that fit into the answer to a digest
-constexpr int min_blocks_to_fetch = 4;     // differing blocks; the accounts of fewer fit into one answer
+constexpr int max_answer_records = 20;     // that fit into the answer to a digest
+constexpr int min_blocks_to_fetch = 4;     // differing blocks; the records of fewer fit into one answer
 constexpr std::size_t page_tag_bytes = 4;  // field number and length of a page
 
 std::uint32_t hash_of(const MemberState& s, RouterIndex who, std::uint32_t seed) {
@@ -34,7 +34,7 @@
     if (early_digests > 0) early_digests--;
     next_digest_at = now + settings.probe_period * (soon ? 2 : 10);
     // During a state transfer nearly all blocks differ, and answers to digests hold
-    // fewer accounts than pages.
+    // fewer records than pages.
     if (transferring()) return;
     // Without state transfer a digest needs one second's worth of bytes, of the two that can be saved up.
     // With it only one second's worth can be saved up, so a digest needs the usual reserve.
@@ -62,40 +62,40 @@
 
 void Membership::compare_digest(const Message& digest, Micros now) {
     if (transferring()) return;
-    std::vector<MemberRecord> differing_accounts;
+    std::vector<MemberRecord> differing_records;
     std::vector<RouterIndex> differing_blocks;
     for (std::size_t i = 0; i < digest.hashes.size(); i++) {
         std::uint32_t hash = 0;
-        std::vector<MemberRecord> accounts;
+        std::vector<MemberRecord> records;
         auto block_start = (digest.first_member + static_cast<int>(i) * members_per_digest_hash) % routers();
         for (int step = 0; step < members_per_digest_hash; step++) {
             auto who = (block_start + step) % routers();
             auto& member_state = at(who).member_state;
             hash = hash_of(member_state, who, hash);
-            if (member_state.generation > 0 && who != digest.from) accounts.push_back({who, member_state});
+            if (member_state.generation > 0 && who != digest.from) records.push_back({who, member_state});
         }
         if (hash == digest.hashes[i]) continue;
         differing_blocks.push_back(block_start);
-        differing_accounts.insert(differing_accounts.end(), accounts.begin(), accounts.end());
+        differing_records.insert(differing_records.end(), records.begin(), records.end());
     }
     if (transfer) fetch_blocks(differing_blocks, digest.from, now);
-    // The accounts that changed last here are the likeliest to be unknown to the sender of the digest.
-    std::stable_sort(differing_accounts.begin(), differing_accounts.end(),
+    // The records that changed last here are the likeliest to be unknown to the sender of the digest.
+    std::stable_sort(differing_records.begin(), differing_records.end(),
                      [this](auto& a, auto& b) { return at(a.member).changed_at > at(b.member).changed_at; });
     Message reply;
     reply.type = MessageType::Gossip;
     // Gossip repeats the end of a cut a bounded number of times, so it sometimes misses a router.
     reply.link_reports = reachability.recovered_among(digest.link_reports);
-    if (differing_accounts.empty() && reply.link_reports.empty()) return;
-    if (!differing_accounts.empty()) early_digests = std::min(early_digests + 1, 4);
-    // The second half of the answer is drawn at random, so that no account is left out for good.
-    for (std::size_t i = max_answer_accounts / 2;
-         i < std::min<std::size_t>(max_answer_accounts, differing_accounts.size()); i++) {
-        boost::random::uniform_int_distribution<std::size_t> draw(i, differing_accounts.size() - 1);
-        std::swap(differing_accounts[i], differing_accounts[draw(generator)]);
+    if (differing_records.empty() && reply.link_reports.empty()) return;
+    if (!differing_records.empty()) early_digests = std::min(early_digests + 1, 4);
+    // The second half of the answer is drawn at random, so that no record is left out for good.
+    for (std::size_t i = max_answer_records / 2;
+         i < std::min<std::size_t>(max_answer_records, differing_records.size()); i++) {
+        boost::random::uniform_int_distribution<std::size_t> draw(i, differing_records.size() - 1);
+        std::swap(differing_records[i], differing_records[draw(generator)]);
     }
-    if (differing_accounts.size() > max_answer_accounts) differing_accounts.resize(max_answer_accounts);
-    send(digest.from, reply, SendPriority::Background, now, differing_accounts);
+    if (differing_records.size() > max_answer_records) differing_records.resize(max_answer_records);
+    send(digest.from, reply, SendPriority::Background, now, differing_records);
 }
 
 // ---- state transfer, as the requester
@@ -108,8 +108,8 @@
 // the bytes of the pages it requests. Where all routers start at once, gossip is needed.
 bool Membership::suppresses_gossip() const { return transferring() && transfer->complete_helper_answered(); }
 
-// Whether a member without an account here is unknown to the other routers too, as
-// far as this router can tell.
+// Whether a member without a record here is unknown to the other routers too, as far as this router can
+// tell.
 bool Membership::is_complete(Micros now) const {
     return transfer->phase() == StateTransfer::Phase::Complete &&
            now - last_heard_any <= settings.longest_suspicion;
@@ -154,19 +154,19 @@
         return;
     }
     totals.pages_accepted++;
-    for (auto& account : message.page->records)
-        if (!has_worse_verdict(account)) merge_account(account, message.from, now, Disseminate::No);
+    for (auto& record : message.page->records)
+        if (!has_worse_verdict(record)) merge_record(record, message.from, now, Disseminate::No);
     transfer->accept_page(message.from, *message.page, message.complete, now);
 }
 
-// Whether the account only brings a worse verdict on the same incarnation. Guards against a wave of false
+// Whether the record only brings a worse verdict on the same incarnation. Guards against a wave of false
 // verdicts after a partition: each side has declared the other side dead, and pages from there would make
 // live routers dead here at once. A verdict on a router that is alive here is taken only from gossip, which
 // names the accuser, or from probes of this router.
-bool Membership::has_worse_verdict(const MemberRecord& account) const {
-    auto& known = at(account.member).member_state;
-    auto& reported = account.member_state;
-    return account.member != self_number && known.generation == reported.generation &&
+bool Membership::has_worse_verdict(const MemberRecord& record) const {
+    auto& known = at(record.member).member_state;
+    auto& reported = record.member_state;
+    return record.member != self_number && known.generation == reported.generation &&
            known.incarnation == reported.incarnation && known.phase == reported.phase &&
            known.liveness < reported.liveness;
 }
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -13,7 +13,7 @@
 constexpr Micros never = std::numeric_limits<Micros>::max();
 constexpr int max_indirect_probes = 32, max_probes = 8;
 constexpr int max_reprobes = 2;             // routers that one reprobe_doubtful() probes
-constexpr std::size_t max_corrections = 3;  // accounts in the answer to a ping
+constexpr std::size_t max_corrections = 3;  // records in the answer to a ping
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     if (routers() <= 1 || slot <= last_slot) return;
     // With poor local health a router probes more rarely.
     auto target = probe_schedule.target(slot);
-    if (slot % local_health.multiplier() == 0 && !awaits_account(target)) start_probe(target, now);
+    if (slot % local_health.multiplier() == 0 && !awaits_record(target)) start_probe(target, now);
     last_slot = slot;
 }
 
@@ -55,9 +55,9 @@
         advance_probe(probes.back(), now);
 }
 
-// During state transfer, routers without an account here are not probed: the answers, which bring gossip,
+// During state transfer, routers without a record here are not probed: the answers, which bring gossip,
 // would take the bytes of pages.
-bool Membership::awaits_account(RouterIndex who) const {
+bool Membership::awaits_record(RouterIndex who) const {
     return transferring() && at(who).state == State::Unknown;
 }
 
@@ -186,13 +186,13 @@
     }
 }
 
-// The accounts in the ping that are out of date, as they are known here.
+// The records in the ping that are out of date, as they are known here.
 std::vector<MemberRecord> Membership::corrections_to(const Message& ping) const {
     std::vector<MemberRecord> corrections;
-    for (auto& account : ping.records) {
-        auto& known = at(account.member).member_state;
-        bool differs = account.member != self_number && !(known == account.member_state);
-        if (differs && corrections.size() < max_corrections) corrections.push_back({account.member, known});
+    for (auto& record : ping.records) {
+        auto& known = at(record.member).member_state;
+        bool differs = record.member != self_number && !(known == record.member_state);
+        if (differs && corrections.size() < max_corrections) corrections.push_back({record.member, known});
     }
     return corrections;
 }
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-constexpr std::size_t max_forced = 3;  // accounts that are sent even where the byte budget is short
+constexpr std::size_t max_forced = 3;  // records that are sent even where the byte budget is short
 constexpr double unbounded = std::numeric_limits<double>::max();
 // Bytes of the least payload worth loading, and of a payload's field number and length.
 constexpr std::size_t min_payload = 12, payload_tag = 4;
 constexpr double min_piggyback_datagram = 110;  // bytes that a datagram for the payload alone needs at least
-constexpr std::size_t accusation_bytes = 40;    // of an accusation of the receiver, with its account
+constexpr std::size_t accusation_bytes = 40;    // of an accusation of the receiver, with its record
 
 // Estimated sizes of the entries in a datagram, so that few have to be removed again after encoding.
-constexpr std::size_t account_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tag_bytes = 18;
+constexpr std::size_t record_bytes = 10, accuser_bytes = 6, link_report_bytes = 6, tag_bytes = 18;
 
 std::size_t entry_bytes(const Message& message) {
-    return tag_bytes + message.records.size() * account_bytes + message.suspicions.size() * accuser_bytes +
+    return tag_bytes + message.records.size() * record_bytes + message.suspicions.size() * accuser_bytes +
            message.link_reports.size() * link_report_bytes;
 }
 
@@ -37,7 +37,7 @@
             message.hashes.pop_back();
         std::erase_if(message.suspicions, [&](auto& one) {
             return std::none_of(message.records.begin(), message.records.end(),
-                                [&](auto& account) { return account.member == one.suspect; });
+                                [&](auto& record) { return record.member == one.suspect; });
         });
         bytes = encode(message);
     }
@@ -125,7 +125,7 @@
     auto room = std::min(static_cast<double>(max_datagram_bytes) - static_cast<double>(base), allowance);
     if (base + accusation_bytes <= max_datagram_bytes) add_accusation_of_receiver(to, message, now);
     bool forced = !first.empty() && first.size() <= max_forced;
-    for (auto& one : first) add_account(one.member, message, forced ? unbounded : room, now);
+    for (auto& one : first) add_record(one.member, message, forced ? unbounded : room, now);
     if (first.empty() && !suppresses_gossip()) add_gossip(message, room, now);
 }
 
@@ -148,20 +148,20 @@
             std::min(max_link_reports, static_cast<std::size_t>(spare / link_report_bytes)),
             gossip.repeat_limit());
     auto after_reports = spare - static_cast<double>(message.link_reports.size() * link_report_bytes);
-    auto places = static_cast<std::size_t>(std::max(0.0, after_reports) / account_bytes);
+    auto places = static_cast<std::size_t>(std::max(0.0, after_reports) / record_bytes);
     for (auto who : gossip.take_next(places))
-        if (!add_account(who, message, room, now)) gossip.put_back(who);
+        if (!add_record(who, message, room, now)) gossip.put_back(who);
 }
 
-// Adds the account, with its accusers if it is suspected. Returns false where it does
+// Adds the record, with its accusers if it is suspected. Returns false where it does
 // not fit into `room` bytes.
-bool Membership::add_account(RouterIndex who, Message& message, double room, Micros now) const {
+bool Membership::add_record(RouterIndex who, Message& message, double room, Micros now) const {
     auto& member_state = at(who).member_state;
     if (member_state.generation == 0 || who == self_number) return true;
     bool present = std::any_of(message.records.begin(), message.records.end(),
                                [&](auto& one) { return one.member == who; });
     if (present) return true;
-    if (static_cast<double>(entry_bytes(message) + account_bytes) > room) return false;
+    if (static_cast<double>(entry_bytes(message) + record_bytes) > room) return false;
     message.records.push_back({who, member_state});
     auto* suspicion = suspicions.find(who);
     if (member_state.liveness != Liveness::Suspected || !suspicion) return true;
--- a/src/rig/hollow/hollow_router.cpp
+++ b/src/rig/hollow/hollow_router.cpp
@@ -47,7 +47,7 @@
     start.self = self;
     start.routers = terms.addresses->routers();
     start.zone = zone;
-    start.life = static_cast<peers::Generation>(now / 1000);
+    start.generation = static_cast<peers::Generation>(now / 1000);
     start.seed = terms.seed + static_cast<std::uint64_t>(self);
     start.now = now;
     start.settings = terms.rates;
--- a/src/rig/scale/simulated_fleet.cpp
+++ b/src/rig/scale/simulated_fleet.cpp
@@ -66,7 +66,7 @@
     start.self = who;
     start.routers = routers();
     start.zone = topology.at(who).zone;
-    start.life = static_cast<peers::Generation>(clock(router) / millisecond);
+    start.generation = static_cast<peers::Generation>(clock(router) / millisecond);
     start.seed = options.seed * seed_step + static_cast<std::uint64_t>(who) * 1'000 +
                  static_cast<std::uint64_t>(router.starts);
     start.now = clock(router);
--- a/src/rig/simulated.hpp
+++ b/src/rig/simulated.hpp
@@ -69,7 +69,7 @@
         start.routers = count();
         start.zone = who % zones;
         auto ran = one.starts == 1 && running_for ? running_for(who) : 0;
-        start.life = static_cast<peers::Generation>((clock(who) - ran) / 1000);
+        start.generation = static_cast<peers::Generation>((clock(who) - ran) / 1000);
         start.seed = seed * 1'000'003 + static_cast<std::uint64_t>(who * 1000 + one.starts);
         start.now = clock(who);
         start.settings = rates;
--- a/tests/cut_expiry_test.cpp
+++ b/tests/cut_expiry_test.cpp
@@ -1,4 +1,5 @@
-// One-sided cuts that end without a datagram of the speaker: by expiry, or by a new life of one of the pair.
+// One-sided cuts that end without a datagram of the speaker: by expiry, or by a new
+// generation of one of the pair.
 #include <doctest/doctest.h>
 
 #include "peers/membership.hpp"
@@ -12,14 +13,14 @@
 constexpr RouterIndex helper = 2, silent = 1;
 constexpr int misses_of_a_cut = 4;
 
-std::string datagram_of_helper(MessageType type, RouterIndex about, Generation life_of_silent) {
+std::string datagram_of_helper(MessageType type, RouterIndex about, Generation generation_of_silent) {
     Message message;
     message.from = helper;
     message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
     message.type = type;
     message.target = about;
     message.probe_id = type == MessageType::Ping ? 7 : 0;
-    message.records = {{silent, {life_of_silent, Phase::Present, 0, Liveness::Alive, false}}};
+    message.records = {{silent, {generation_of_silent, Phase::Present, 0, Liveness::Alive, false}}};
     return encode(message);
 }
 
@@ -27,7 +28,7 @@
 Membership membership_with_silent_router() {
     MembershipConfig config;
     config.routers = 4;
-    config.life = 1000;
+    config.generation = 1000;
     config.now = noon_at;
     Membership membership(config);
     for (int i = 0; i < misses_of_a_cut; i++)
@@ -57,7 +58,7 @@
     CHECK(!reports[0].down);
 }
 
-TEST_CASE("the end of a cut is reported when a new life of the speaker ends it") {
+TEST_CASE("the end of a cut is reported when a new generation of the speaker ends it") {
     auto membership = membership_with_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
     membership.take_link_reports();
--- a/tests/cut_repair_test.cpp
+++ b/tests/cut_repair_test.cpp
@@ -13,12 +13,12 @@
 
 constexpr Micros second = 1'000'000, noon_at = 1'764'576'000 * second;
 constexpr RouterIndex speaker = 1, listener = 2, other = 3;
-constexpr Generation life = 500;
+constexpr Generation generation = 500;
 
 std::string datagram(RouterIndex from, MessageType type, const LinkReport& report) {
     Message message;
     message.from = from;
-    message.sender_state = {life, Phase::Present, 0, Liveness::Alive, false};
+    message.sender_state = {generation, Phase::Present, 0, Liveness::Alive, false};
     message.type = type;
     message.link_reports = {report};
     return encode(message);
@@ -27,7 +27,7 @@
 Membership membership_of_four() {
     MembershipConfig config;
     config.routers = 4;
-    config.life = 1000;
+    config.generation = 1000;
     config.now = noon_at;
     return Membership(config);
 }
@@ -132,7 +132,7 @@
     constexpr std::size_t reports_per_digest = 6;
     Reachability reachability(0);
     for (RouterIndex who = 1; who <= cuts; who++)
-        reachability.merge_report({who, who + 1, 1, true}, life, noon_at);
+        reachability.merge_report({who, who + 1, 1, true}, generation, noon_at);
     std::vector<RouterIndex> reported;
     for (int i = 0; i < 4; i++)
         for (auto& report : reachability.next_down_links(reports_per_digest))
--- a/tests/flaws/peers_flaws.cpp
+++ b/tests/flaws/peers_flaws.cpp
@@ -63,13 +63,13 @@
     sim.run_until(sim.now() + 25 * second);
 }
 
-// A datagram of router `from` that carries one account.
-std::string news_with(Simulated<>& sim, RouterIndex from, MemberRecord account) {
+// A datagram of router `from` that carries one record.
+std::string news_with(Simulated<>& sim, RouterIndex from, MemberRecord record) {
     Message message;
     message.from = from;
     message.sender_state = sim.protocol(from)->self();
     message.type = MessageType::Gossip;
-    message.records = {account};
+    message.records = {record};
     return encode(message);
 }
 
@@ -83,14 +83,15 @@
     sim.kill(4);
     sim.run_until(sim.now() + 100 * ms);
     sim.start(4);
-    // A report of the last life is delivered late.
+    // A report of the previous generation is delivered late.
     for (int i = 0; i < 8; i++)
         if (i != 4 && i != 2) sim.protocol(i)->receive(2, old, sim.clock(i));
     if (!agree_within(sim, 10 * second)) return false;
-    auto life = sim.protocol(4)->self();
+    auto generation = sim.protocol(4)->self();
     for (int i = 0; i < 8; i++)
-        if (sim.protocol(i)->view(4, sim.clock(i)).member_state.incarnation > life.incarnation) return false;
-    return life.incarnation < 90;
+        if (sim.protocol(i)->view(4, sim.clock(i)).member_state.incarnation > generation.incarnation)
+            return false;
+    return generation.incarnation < 90;
 }
 
 bool departure_is_final() {
@@ -174,10 +175,10 @@
 bool unknown_addresses_dropped() {
     Simulated<> sim(5, 1, 15);
     settle(sim);
-    auto life = sim.protocol(4)->self().generation;
+    auto generation = sim.protocol(4)->self().generation;
     for (int i = 0; i < 4; i++)
-        sim.protocol(i)->receive(-1, news_with(sim, 2, {4, {life, Phase::Gone, 0, Liveness::Alive, false}}),
-                                 sim.clock(i));
+        sim.protocol(i)->receive(
+            -1, news_with(sim, 2, {4, {generation, Phase::Gone, 0, Liveness::Alive, false}}), sim.clock(i));
     return sim.protocol(0)->state(4) == State::Alive;
 }
 
@@ -243,14 +244,14 @@
     MembershipConfig config;
     config.routers = 4;
     config.now = 1'764'576'000 * second;
-    config.life = 1000;
+    config.generation = 1000;
     Membership membership(config);
     auto now = config.now;
-    auto tell = [&](RouterIndex from, MemberRecord account, std::vector<SuspicionReport> accusations) {
+    auto tell = [&](RouterIndex from, MemberRecord record, std::vector<SuspicionReport> accusations) {
         Message message;
         message.from = from;
         message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
-        message.records = {account};
+        message.records = {record};
         message.suspicions = std::move(accusations);
         membership.receive(from, encode(message), now);
     };
@@ -281,10 +282,13 @@
     std::vector<Flaw> guards;
 };
 const auto scenarios = std::to_array<Scenario>({
-    {"a router that restarts within a probe period is alive, despite late datagrams of its last life",
+    {"a router that restarts within a probe period is alive, despite late datagrams of its previous "
+     "generation",
      restarts_within_period,
      {Flaw::LifeIgnored}},
-    {"a router that has left never returns in the same life", departure_is_final, {Flaw::PhaseFallsBack}},
+    {"a router that has left never returns in the same generation",
+     departure_is_final,
+     {Flaw::PhaseFallsBack}},
     {"a router paused for 1.5 s refutes the suspicion",
      short_pause_refuted,
      {Flaw::NoRefutation, Flaw::SuspicionAtOnce}},
@@ -301,7 +305,7 @@
     {"a router that was paused probes before a verdict", probes_before_verdict, {Flaw::AskedNotBefore}},
     {"a router that restarts with its clock set back is alive", clock_set_back, {Flaw::LifeNotRaised}},
     // State transfer; state_transfer_test.cpp runs all of its scenarios on the shipped code.
-    {"a page never restores an earlier life",
+    {"a page never restores an earlier generation",
      transfer_scenarios::older_life_stays_older,
      {Flaw::PageOverwrites}},
     {"a page declares no router dead that is alive here",
--- a/tests/flaws/transfer_scenarios.hpp
+++ b/tests/flaws/transfer_scenarios.hpp
@@ -164,7 +164,7 @@
         rates.state_transfer = on;
         MembershipConfig start;
         start.routers = routers;
-        start.life = static_cast<Generation>(now / 1000);
+        start.generation = static_cast<Generation>(now / 1000);
         start.now = now;
         start.settings = rates;
         membership = std::make_unique<Membership>(start);
--- a/tests/last_call_test.cpp
+++ b/tests/last_call_test.cpp
@@ -26,7 +26,7 @@
     std::string load(RouterIndex /*to*/, std::size_t room, Micros /*now*/) override {
         return std::string(room, 'x');
     }
-    void unload(RouterIndex /*from*/, Generation /*life*/, std::string_view /*bytes*/,
+    void unload(RouterIndex /*from*/, Generation /*generation*/, std::string_view /*bytes*/,
                 Micros /*now*/) override {}
 };
 
@@ -70,7 +70,7 @@
     static MembershipConfig config() {
         MembershipConfig made;
         made.routers = routers;
-        made.life = 1000;
+        made.generation = 1000;
         made.now = noon_at;
         return made;
     }
@@ -79,9 +79,9 @@
         for (auto& datagram : membership.take_outgoing()) {
             auto read = decode(datagram.bytes, routers, now);
             REQUIRE(read.message);
-            auto& accounts = read.message->records;
-            bool about = std::any_of(accounts.begin(), accounts.end(),
-                                     [](auto& account) { return account.member == accused; });
+            auto& records = read.message->records;
+            bool about = std::any_of(records.begin(), records.end(),
+                                     [](auto& record) { return record.member == accused; });
             if (read.message->type == MessageType::Ping && read.message->probe_id == 0 && about &&
                 !last_call_at)
                 last_call_at = now;
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -18,11 +18,12 @@
 
 std::vector<MemberState> all_member_states() {
     std::vector<MemberState> all;
-    for (Generation life : {1, 2})
+    for (Generation generation : {1, 2})
         for (auto phase : {Phase::Present, Phase::Leaving, Phase::Gone})
             for (std::uint32_t incarnation : {0U, 1U})
                 for (auto verdict : {Liveness::Alive, Liveness::Suspected, Liveness::Dead})
-                    for (bool ill : {false, true}) all.push_back({life, phase, incarnation, verdict, ill});
+                    for (bool ill : {false, true})
+                        all.push_back({generation, phase, incarnation, verdict, ill});
     return all;
 }
 
@@ -47,25 +48,25 @@
     MembershipConfig config;
     config.self = self;
     config.routers = routers;
-    config.life = 1000;
+    config.generation = 1000;
     config.now = noon_at;
     return Membership(config);
 }
 
-// A datagram of router `from` that carries one account.
-std::string news_with(RouterIndex from, MemberRecord account, std::vector<SuspicionReport> accusations = {}) {
+// A datagram of router `from` that carries one record.
+std::string news_with(RouterIndex from, MemberRecord record, std::vector<SuspicionReport> accusations = {}) {
     Message message;
     message.from = from;
     message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
     message.type = MessageType::Gossip;
-    message.records = {account};
+    message.records = {record};
     message.suspicions = std::move(accusations);
     return encode(message);
 }
 
 }  // namespace
 
-TEST_CASE("joining accounts is commutative, associative and idempotent") {
+TEST_CASE("joining records is commutative, associative and idempotent") {
     auto all = all_member_states();
     for (auto& a : all) {
         CHECK(merge(a, a) == a);
@@ -76,7 +77,7 @@
     }
 }
 
-TEST_CASE("joining an account never lowers the life, nor the phase or incarnation within a life") {
+TEST_CASE("joining a record never lowers the generation, nor the phase or incarnation within a generation") {
     for (auto& a : all_member_states())
         for (auto& b : all_member_states()) {
             auto joined = merge(a, b);
@@ -185,7 +186,7 @@
     CHECK(!reachability.is_down(0, 4));
     CHECK(reachability.record_received(4, noon_at));
     CHECK(!reachability.is_down(4, 0));
-    SUBCASE("reports of another listener are ordered by its life and sequence number") {
+    SUBCASE("reports of another listener are ordered by its generation and sequence number") {
         CHECK(reachability.merge_report({1, 2, 5, true}, 10, noon_at));
         CHECK(!reachability.merge_report({1, 2, 5, false}, 10, noon_at));
         CHECK(!reachability.merge_report({1, 2, 9, false}, 9, noon_at));
@@ -221,8 +222,7 @@
     membership.receive(1, news_with(1, {0, {1000, Phase::Present, 7, Liveness::Alive, false}}), noon_at);
     CHECK(membership.self().incarnation == 8);  // raised by an earlier process of the same millisecond
     membership.receive(1, news_with(1, {0, {1000, Phase::Gone, 9, Liveness::Alive, false}}), noon_at);
-    CHECK(membership.self().generation ==
-          1001);  // it has not announced that in this life, so it starts another
+    CHECK(membership.self().generation == 1001);  // it has not announced that, so it begins a new one
     membership.receive(1, news_with(1, {0, {5000, Phase::Present, 0, Liveness::Alive, false}}), noon_at);
     CHECK(membership.self().generation == 5001);
 }
