--- a/src/peers/membership.cpp
+++ b/src/peers/membership.cpp
@@ -1,5 +1,5 @@
-// The part of a Membership that takes what comes and keeps the members' states. Probing, judging, sending,
-// and finding differences in bulk are in membership_probes.cpp, membership_suspicion.cpp,
+// The part of a Membership that processes received datagrams and keeps the members' states. Probes,
+// suspicions and verdicts, sending, and anti-entropy are in membership_probes.cpp, membership_suspicion.cpp,
 // membership_sending.cpp and membership_anti_entropy.cpp.
 #include "peers/membership.hpp"
 
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Micros ms = 1000;
-constexpr std::uint32_t most_incarnation = (1U << 27) - 1;
+constexpr std::uint32_t max_incarnation = (1U << 27) - 1;
 
-// With state transfer on, what all send in one burst has to leave room for pages in what one of them takes
-// in.
+// With state transfer the burst is halved: when all routers send a burst at once, the bytes that one of them
+// receives have to leave room for pages.
 ByteBudget budget_of(const MembershipSettings& settings, Micros now) {
     constexpr double burst_seconds = 1;
     if (!settings.state_transfer) return {settings.bytes_per_s, now};
@@ -44,173 +44,177 @@
     return "gone";
 }
 
-Membership::Membership(const MembershipConfig& start)
-    : number(start.self),
-      zone(start.zone),
-      settings(start.settings),
-      me{start.life, Phase::Present, 0, Liveness::Alive, false},
-      members(static_cast<std::size_t>(start.routers)),
-      probe_schedule(start.self, start.routers, start.settings.probe_period),
-      suspicions({start.settings.shortest_suspicion, start.settings.longest_suspicion,
-                  2 * start.settings.probe_period}),
-      reachability(start.self),
-      gossip(start.routers),
-      local_health(start.settings.longest_pause, start.now),
-      round_trips(start.settings.probe_period, start.now),
-      byte_budget(budget_of(start.settings, start.now)),
-      chance(static_cast<std::uint32_t>(start.seed ^ (start.seed >> 32) ^ start.life)),
-      last_slot(probe_schedule.slot(start.now)),
-      digest_at(start.now),
-      unlike(8) {
+Membership::Membership(const MembershipConfig& config)
+    : self_number(config.self),
+      zone(config.zone),
+      settings(config.settings),
+      self_state{config.generation, Phase::Present, 0, Liveness::Alive, false},
+      members(static_cast<std::size_t>(config.routers)),
+      probe_schedule(config.self, config.routers, config.settings.probe_period),
+      suspicions({config.settings.shortest_suspicion, config.settings.longest_suspicion,
+                  2 * config.settings.probe_period}),
+      reachability(config.self),
+      gossip(config.routers),
+      local_health(config.settings.longest_pause, config.now),
+      round_trips(config.settings.probe_period, config.now),
+      byte_budget(budget_of(config.settings, config.now)),
+      generator(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32) ^ config.generation)),
+      last_slot(probe_schedule.slot(config.now)),
+      next_digest_at(config.now),
+      early_digests(8) {
     if (settings.state_transfer) {
-        transfer.emplace(number, start.routers, static_cast<std::uint32_t>(start.seed ^ start.life),
-                         start.now);
-        page_server.emplace(settings.bytes_per_s, start.now);
-        unlike = 0;
+        transfer.emplace(self_number, config.routers,
+                         static_cast<std::uint32_t>(config.seed ^ config.generation), config.now);
+        page_server.emplace(settings.bytes_per_s, config.now);
+        early_digests = 0;
     }
-    auto& mine = at(number);
-    mine.member_state = me;
-    mine.state = State::Alive;
-    mine.since = start.now;
-    mine.zone = static_cast<std::int16_t>(zone);
+    auto& own = at(self_number);
+    own.member_state = self_state;
+    own.state = State::Alive;
+    own.since = config.now;
+    own.zone = static_cast<std::int16_t>(zone);
 }
 
-// ---- what comes
+// ---- received datagrams
 
 void Membership::receive(RouterIndex from, std::string_view datagram, Micros now) {
-    arrive(now);
+    handle_pause(now);
     if (transfer) transfer->record_traffic(datagram.size(), now);
     if (from < 0) {
-        seen.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
+        totals.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
     auto decoded = decode(datagram, routers(), now);
     if (!decoded.message) {
-        seen.dropped[static_cast<std::size_t>(decoded.drop_reason)]++;
+        totals.dropped[static_cast<std::size_t>(decoded.drop_reason)]++;
         return;
     }
-    // Nobody may speak under another's number, nor under mine.
-    if (decoded.message->from != from || decoded.message->from == number) {
-        seen.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
+    // Guards against a sender that uses the number of another router, or the number of this one.
+    if (decoded.message->from != from || decoded.message->from == self_number) {
+        totals.dropped[static_cast<std::size_t>(DropReason::UnexpectedSender)]++;
         return;
     }
     if (!settings.state_transfer && is_state_transfer(decoded.message->type)) {
-        seen.dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)]++;
+        totals.dropped[static_cast<std::size_t>(DropReason::StateTransferDisabled)]++;
         return;
     }
-    seen.received++;
-    take(*decoded.message, now);
-    pass_on(now);
-    // An answer takes its probe off the list, so the next call may be due later than was said.
-    local_health.promise(next_tick());
+    totals.received++;
+    process(*decoded.message, now);
+    send_urgent_gossip(now);
+    // An answer removes its probe, so the next tick may be due later than was expected before.
+    local_health.expect_call_by(next_tick());
 }
 
-// Each call begins here. Guards against a router that was stopped, or that had no processor, and then holds
-// against others what it did not hear meanwhile: probes under way are void, nobody is judged before being
-// asked again, and what was said of this router while it was away is answered before it is heard.
-void Membership::arrive(Micros now) {
-    auto away = local_health.away(now);
-    if (away == 0) return;
-    seen.pauses++;
+// Called first at each entry point. Guards against a router that was paused, or got no processor
+// time, and then accuses others because of datagrams that it missed meanwhile. It drops its open
+// probes, probes each suspected router again before a verdict, and refutes in advance what may have
+// been said of it during the pause.
+void Membership::handle_pause(Micros now) {
+    auto pause = local_health.detect_pause(now);
+    if (pause == 0) return;
+    totals.pauses++;
     probes.clear();
     indirect_probes.clear();
-    suspicions.set_back(away);
-    local_health.worse();
-    // Its own slowness is no miss of others either.
+    suspicions.postpone_all(pause);
+    local_health.degrade();
+    // Slots that passed during the pause are not made up for.
     last_slot = probe_schedule.slot(now);
-    // What was told meanwhile has been told often enough for others.
-    if (transfer && away >= settings.longest_suspicion) transfer->begin_after_pause(now);
-    say_anew(true);
-    tell_some(3, now);
+    // Gossip from the time of the pause may have reached its repeat limit, so that it never comes here.
+    if (transfer && pause >= settings.longest_suspicion) transfer->begin_after_pause(now);
+    raise_incarnation(true);
+    send_gossip(3, now);
 }
 
-void Membership::take(const Message& message, Micros now) {
+void Membership::process(const Message& message, Micros now) {
     auto& sender = at(message.from);
     if (message.sender_state.generation < sender.member_state.generation) {
-        // An old life's datagram, still under way; or a new life whose clock was set back, which has to hear
-        // it.
-        Message heard;
-        heard.type = MessageType::Ack;
-        heard.probe_id = message.probe_id;
+        // Either a late datagram of an earlier generation, or a new generation whose clock was set back. The
+        // latter has to learn of the generation that is known here, so that it can choose a higher one.
+        Message answer;
+        answer.type = MessageType::Ack;
+        answer.probe_id = message.probe_id;
         if (message.type == MessageType::Ping)
-            send(message.from, heard, SendPriority::Answer, now, {{message.from, sender.member_state}});
+            send(message.from, answer, SendPriority::Answer, now, {{message.from, sender.member_state}});
         return;
     }
-    heard_any = now;
-    sender.heard = now;
+    last_heard_any = now;
+    sender.last_heard = now;
     if (message.zone >= 0) sender.zone = static_cast<std::int16_t>(message.zone);
-    take(MemberRecord{message.from, message.sender_state}, message.from, now);
+    merge_record(MemberRecord{message.from, message.sender_state}, message.from, now);
     if (reachability.record_received(message.from, now))
-        note_cut(message.from, number, false, message.from, now);
+        report_link(message.from, self_number, false, message.from, now);
 
     if (piggyback && !message.payload.empty())
         piggyback->unload(message.from, message.sender_state.generation, message.payload, now);
-    for (auto& account : message.records) take(account, message.from, now);
-    take_accusations(message, now);
-    // Those of a digest are what its sender holds, no news: taken as news, a cut would never expire.
+    for (auto& record : message.records) merge_record(record, message.from, now);
+    apply_accusations(message, now);
+    // The link reports of a digest are what its sender holds, not updates. Taken as updates, they would keep
+    // a cut from ever expiring.
     if (message.type != MessageType::Digest) apply_link_reports(message, now);
 
-    take_by_kind(message, now);
+    dispatch(message, now);
 }
 
-void Membership::take_by_kind(const Message& message, Micros now) {
+void Membership::dispatch(const Message& message, Micros now) {
     switch (message.type) {
         case MessageType::Ping:
             return answer_ping(message, now);
         case MessageType::Ack:
-            return answered(message, now);
+            return handle_answer(message, now);
         case MessageType::PingRequest:
-            return probe_for_another(message, now);
+            return start_indirect_probe(message, now);
         case MessageType::Nack:
             for (auto& probe : probes)
-                if (probe.number == message.probe_id && probe.target == message.target) probe.noes++;
+                if (probe.id == message.probe_id && probe.target == message.target) probe.nacks++;
             return;
         case MessageType::Digest:
-            return compare(message, now);
+            return compare_digest(message, now);
         case MessageType::Gossip:
             return;
         case MessageType::RangeRequest:
             return answer_range_request(message, now);
         case MessageType::RangePage:
-            return take_page(message, now);
+            return handle_page(message, now);
     }
 }
 
-void Membership::take(const MemberRecord& account, RouterIndex by, Micros now, Spread spreading) {
-    if (account.member == number) return about_me(account.member_state);
-    auto& member = at(account.member);
-    auto joined = merge(member.member_state, account.member_state);
+void Membership::merge_record(const MemberRecord& record, RouterIndex by, Micros now,
+                              Disseminate disseminate) {
+    if (record.member == self_number) return refute(record.member_state);
+    auto& member = at(record.member);
+    auto joined = merge(member.member_state, record.member_state);
     if (joined == member.member_state) {
-        if (by == account.member || spreading == Spread::No) return;
-        if (account.member_state == joined)
-            gossip.heard_again(account.member);
+        if (by == record.member || disseminate == Disseminate::No) return;
+        if (record.member_state == joined)
+            gossip.note_duplicate(record.member);
         else
-            gossip.put_right(account.member);  // the teller is behind, and most likely others are
+            gossip.enqueue_correction(record.member);  // the sender is behind, and others probably are too
         return;
     }
     auto before = std::exchange(member.member_state, joined);
-    member.changed = now;
-    if (before.unhealthy != joined.unhealthy && health_news.size() < most_changes)
-        health_news.push_back({account.member, joined.unhealthy});
+    member.changed_at = now;
+    if (before.unhealthy != joined.unhealthy && health_changes.size() < max_kept_changes)
+        health_changes.push_back({record.member, joined.unhealthy});
     std::vector<LinkReport> ended_cuts;
-    if (before.generation != joined.generation) ended_cuts = reachability.forget(account.member);
+    if (before.generation != joined.generation) ended_cuts = reachability.forget(record.member);
     if (joined.liveness != Liveness::Suspected || before.generation != joined.generation ||
         before.incarnation != joined.incarnation)
-        suspicions.acquit(account.member);
-    // Who accuses follows in the same datagram; a teller alone is no accuser.
-    if (joined.liveness == Liveness::Suspected && !suspicions.find(account.member))
-        suspicions.accuse(account.member, -1, 0, now);
-    if (spreading == Spread::Yes) spread(account.member, before.generation != 0);
-    note(account.member, by, now);
-    note_ended_cuts(ended_cuts, by, now);
+        suspicions.remove(record.member);
+    // The accusers follow in the same datagram. The sender of a record does not count as an accuser.
+    if (joined.liveness == Liveness::Suspected && !suspicions.find(record.member))
+        suspicions.accuse(record.member, -1, 0, now);
+    if (disseminate == Disseminate::Yes) enqueue_gossip(record.member, before.generation != 0);
+    update_state(record.member, by, now);
+    report_ended_cuts(ended_cuts, by, now);
 }
 
-// An accusation goes with an account in the same datagram, and counts where that is what is known here too.
-void Membership::take_accusations(const Message& message, Micros now) {
+// An accusation refers to a record in the same datagram, and counts only if that
+// record is the one known here.
+void Membership::apply_accusations(const Message& message, Micros now) {
     for (auto& one : message.suspicions) {
         auto about = std::find_if(message.records.begin(), message.records.end(),
-                                  [&](auto& account) { return account.member == one.suspect; });
-        if (one.suspect == number || about == message.records.end()) continue;
+                                  [&](auto& record) { return record.member == one.suspect; });
+        if (one.suspect == self_number || about == message.records.end()) continue;
         auto& known = at(one.suspect).member_state;
         if (known == about->member_state && known.liveness == Liveness::Suspected)
             accuse(one.suspect, one.reporter, one.age, now);
@@ -220,94 +224,97 @@
 void Membership::apply_link_reports(const Message& message, Micros now) {
     for (auto& report : message.link_reports)
         if (reachability.merge_report(report, at(report.receiver).member_state.generation, now))
-            note_cut(report.sender, report.receiver, report.down, message.from, now);
+            report_link(report.sender, report.receiver, report.down, message.from, now);
 }
 
-// What others say of this router. A new word of its own answers an accusation; a new life whatever this life
-// can't have said: another life, an end, an incarnation beyond all.
-void Membership::about_me(const MemberState& told) {
-    if (told.generation < me.generation) return;
-    if (told.generation > me.generation || (told.phase > me.phase) || told.incarnation >= most_incarnation) {
-        me.generation = std::max(me.generation, told.generation);
-        return new_life();
+// Handles what others report of this router. It refutes an accusation with a higher incarnation. What
+// this generation can't have announced (a later generation, a later phase, the highest incarnation) makes
+// it begin a new generation.
+void Membership::refute(const MemberState& reported) {
+    if (reported.generation < self_state.generation) return;
+    if (reported.generation > self_state.generation || (reported.phase > self_state.phase) ||
+        reported.incarnation >= max_incarnation) {
+        self_state.generation = std::max(self_state.generation, reported.generation);
+        return begin_new_generation();
     }
-    bool accused = told.incarnation == me.incarnation && told.liveness != Liveness::Alive;
-    if (told.incarnation <= me.incarnation && !accused) return;
-    me.incarnation = told.incarnation;
-    seen.refutations++;
-    local_health.worse();
-    say_anew(true);
+    bool accused = reported.incarnation == self_state.incarnation && reported.liveness != Liveness::Alive;
+    if (reported.incarnation <= self_state.incarnation && !accused) return;
+    self_state.incarnation = reported.incarnation;
+    totals.refutations++;
+    local_health.degrade();
+    raise_incarnation(true);
 }
 
-void Membership::new_life() {
-    me.generation++;
-    me.incarnation = 0;
-    at(number).member_state = me;
-    spread(number, true);
+void Membership::begin_new_generation() {
+    self_state.generation++;
+    self_state.incarnation = 0;
+    at(self_number).member_state = self_state;
+    enqueue_gossip(self_number, true);
 }
 
-void Membership::say_anew(bool urgent) {
-    if (me.incarnation + 1 >= most_incarnation) return new_life();
-    me.incarnation++;
-    at(number).member_state = me;
-    spread(number, urgent);
+void Membership::raise_incarnation(bool urgent) {
+    if (self_state.incarnation + 1 >= max_incarnation) return begin_new_generation();
+    self_state.incarnation++;
+    at(self_number).member_state = self_state;
+    enqueue_gossip(self_number, urgent);
 }
 
-// ---- what is due
+// ---- periodic work
 
 void Membership::tick(Micros now) {
-    arrive(now);
-    probe_in_slot(now);
-    step_probes(now);
-    say_no_to_askers(now);
-    if (now >= look_again_at) {
-        look_again(now);
-        look_again_at = now + settings.probe_period * 3;
+    handle_pause(now);
+    probe_scheduled_target(now);
+    advance_probes(now);
+    send_due_nacks(now);
+    if (now >= next_reprobe_at) {
+        reprobe_doubtful(now);
+        next_reprobe_at = now + settings.probe_period * 3;
     }
-    judge(now);
-    pass_on(now);
-    if (now >= digest_at && routers() > 1) send_digest(now);
-    if (transfer) ask_for_ranges(now);
-    if (now >= expire_at) {
-        note_ended_cuts(reachability.expire(now), -1, now);
-        expire_at = now + 1000 * ms;
+    check_suspicions(now);
+    send_urgent_gossip(now);
+    if (now >= next_digest_at && routers() > 1) send_digest(now);
+    if (transfer) request_ranges(now);
+    if (now >= next_expiry_at) {
+        report_ended_cuts(reachability.expire(now), -1, now);
+        next_expiry_at = now + 1000 * ms;
     }
-    piggyback_waits = false;  // it says so again, each time before this
-    local_health.promise(next_tick());
+    reserves_for_piggyback = false;  // the piggyback has to ask for it again before each tick
+    local_health.expect_call_by(next_tick());
 }
 
 Micros Membership::next_tick() const {
     auto at = probe_schedule.start(last_slot + 1);
-    for (auto& one : probes) at = std::min(at, one.passed_on ? one.end : std::min(one.step_at, one.end));
+    for (auto& one : probes)
+        at = std::min(at, one.answered_via_helper ? one.ends_at : std::min(one.next_step_at, one.ends_at));
     for (auto& one : indirect_probes)
-        if (!one.said_no) at = std::min(at, one.say_no_at);
+        if (!one.settled) at = std::min(at, one.nack_at);
     if (transfer) at = std::min(at, transfer->next_check());
     return at;
 }
 
-// ---- what the router says of itself
+// ---- announcements about this router
 
 void Membership::leave(Micros now) {
-    if (me.phase != Phase::Present) return;
-    me.phase = Phase::Leaving;
-    say_anew(true);
-    tell_some(4, now);
+    if (self_state.phase != Phase::Present) return;
+    self_state.phase = Phase::Leaving;
+    raise_incarnation(true);
+    send_gossip(4, now);
 }
 
 void Membership::announce_exit(Micros now) {
-    me.phase = Phase::Gone;
-    say_anew(true);
-    // Its last chance to be heard, so more are told.
-    tell_some(6, now);
+    self_state.phase = Phase::Gone;
+    raise_incarnation(true);
+    // More receivers than in leave(), since this announcement is not repeated.
+    send_gossip(6, now);
 }
 
 void Membership::set_unhealthy(bool yes) {
-    if (me.unhealthy == yes) return;
-    me.unhealthy = yes;
-    say_anew(true);
+    if (self_state.unhealthy == yes) return;
+    self_state.unhealthy = yes;
+    raise_incarnation(true);
 }
 
-// ---- what others ask
+// ---- queries
 
 State Membership::state(RouterIndex who) const { return at(who).state; }
 
@@ -319,26 +326,27 @@
     view.unhealthy = member.member_state.unhealthy;
     view.zone = member.zone;
     view.member_state = member.member_state;
-    view.last_heard = member.heard;
-    view.hears_me = !reachability.is_down(number, who);
-    view.is_heard = !reachability.is_down(who, number);
-    // As long as somebody is heard, no news of a router is news; alone, all that is known grows old.
-    auto alone = static_cast<double>(now - std::max(heard_any, member.heard)) /
-                 static_cast<double>(settings.longest_suspicion);
-    auto fresh = who == number ? 1 : std::exp2(-std::max(0.0, alone));
+    view.last_heard = member.last_heard;
+    view.hears_me = !reachability.is_down(self_number, who);
+    view.is_heard = !reachability.is_down(who, self_number);
+    // While any router is heard, the lack of updates about one means that nothing has changed. While none is
+    // heard, all that is known becomes outdated.
+    auto isolation = static_cast<double>(now - std::max(last_heard_any, member.last_heard)) /
+                     static_cast<double>(settings.longest_suspicion);
+    auto freshness = who == self_number ? 1 : std::exp2(-std::max(0.0, isolation));
     auto* suspicion = suspicions.find(who);
     switch (member.state) {
         case State::Unknown:
             break;
         case State::Alive:
         case State::Silent:
-            view.confidence = who == number ? 1 : 0.99 * fresh;
+            view.confidence = who == self_number ? 1 : 0.99 * freshness;
             break;
         case State::Suspected:
-            view.confidence = suspicion ? fresh * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
+            view.confidence = suspicion ? freshness * static_cast<double>(suspicion->accusers.size()) / 5 : 0;
             break;
         case State::Dead:
-            view.confidence = 0.9 * fresh;
+            view.confidence = 0.9 * freshness;
             break;
         case State::Leaving:
         case State::Gone:
@@ -359,8 +367,8 @@
 }
 
 std::size_t Membership::bytes_held() const {
-    auto one = sizeof(Member) + sizeof(std::uint16_t) + sizeof(RouterIndex) + 8;
-    return sizeof *this + members.size() * one + suspicions.all().size() * (sizeof(Suspicion) + 64) +
+    auto per_member = sizeof(Member) + sizeof(std::uint16_t) + sizeof(RouterIndex) + 8;
+    return sizeof *this + members.size() * per_member + suspicions.all().size() * (sizeof(Suspicion) + 64) +
            (transfer ? transfer->bytes_held() : 0);
 }
 
--- a/tests/cut_expiry_test.cpp
+++ b/tests/cut_expiry_test.cpp
@@ -1,4 +1,5 @@
-// Cuts that end without a datagram of the speaker: by time, or by the new life of one of the pair.
+// One-sided cuts that end without a datagram of the speaker: by expiry, or by a new
+// generation of one of the pair.
 #include <doctest/doctest.h>
 
 #include "peers/membership.hpp"
@@ -12,24 +13,24 @@
 constexpr RouterIndex helper = 2, silent = 1;
 constexpr int misses_of_a_cut = 4;
 
-std::string datagram_of_helper(MessageType type, RouterIndex about, Generation life_of_silent) {
+std::string datagram_of_helper(MessageType type, RouterIndex about, Generation generation_of_silent) {
     Message message;
     message.from = helper;
     message.sender_state = {500, Phase::Present, 0, Liveness::Alive, false};
     message.type = type;
     message.target = about;
     message.probe_id = type == MessageType::Ping ? 7 : 0;
-    message.records = {{silent, {life_of_silent, Phase::Present, 0, Liveness::Alive, false}}};
+    message.records = {{silent, {generation_of_silent, Phase::Present, 0, Liveness::Alive, false}}};
     return encode(message);
 }
 
-// Router 0, which has missed what `silent` sent it, as the helper's pings on its behalf show.
-Membership with_a_silent_router() {
-    MembershipConfig start;
-    start.routers = 4;
-    start.life = 1000;
-    start.now = noon_at;
-    Membership membership(start);
+// Router 0, which has received none of the pings of router `silent`, as indirect probes by the helper show.
+Membership membership_with_silent_router() {
+    MembershipConfig config;
+    config.routers = 4;
+    config.generation = 1000;
+    config.now = noon_at;
+    Membership membership(config);
     for (int i = 0; i < misses_of_a_cut; i++)
         membership.receive(helper, datagram_of_helper(MessageType::Ping, silent, 500), noon_at);
     return membership;
@@ -37,8 +38,8 @@
 
 }  // namespace
 
-TEST_CASE("a member is silent no longer when its cut expires") {
-    auto membership = with_a_silent_router();
+TEST_CASE("a silent member is alive again when its cut expires") {
+    auto membership = membership_with_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
     membership.take_link_reports();
     membership.take_state_changes();
@@ -57,8 +58,8 @@
     CHECK(!reports[0].down);
 }
 
-TEST_CASE("the end of a cut is told when a new life of the speaker ends it") {
-    auto membership = with_a_silent_router();
+TEST_CASE("the end of a cut is reported when a new generation of the speaker ends it") {
+    auto membership = membership_with_silent_router();
     REQUIRE(membership.state(silent) == State::Silent);
     membership.take_link_reports();
     membership.receive(helper, datagram_of_helper(MessageType::Gossip, -1, 600), noon_at + second / 10);
@@ -69,7 +70,7 @@
     CHECK(!reports[0].down);
 }
 
-TEST_CASE("a cut that there is no room for is not told as one") {
+TEST_CASE("a cut beyond the capacity is not reported") {
     constexpr RouterIndex most_cuts = 64;
     Reachability reachability(0);
     for (RouterIndex speaker = 1; speaker <= most_cuts; speaker++)
@@ -78,7 +79,7 @@
     CHECK(!reachability.is_down(200, 0));
 }
 
-TEST_CASE("who misses something is asked again only while there is room to say so") {
+TEST_CASE("a link with misses is doubtful only while there is capacity for its cut") {
     constexpr RouterIndex most_cuts = 64, missing = 200;
     Reachability reachability(0);
     for (RouterIndex speaker = 1; speaker < most_cuts; speaker++)
--- a/tests/flaws/transfer_scenarios.hpp
+++ b/tests/flaws/transfer_scenarios.hpp
@@ -165,7 +165,7 @@
         settings.state_transfer = state_transfer;
         MembershipConfig start;
         start.routers = routers;
-        start.life = static_cast<Generation>(now / 1000);
+        start.generation = static_cast<Generation>(now / 1000);
         start.now = now;
         start.settings = settings;
         membership = std::make_unique<Membership>(start);
