--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -11,217 +11,220 @@
 namespace {
 
 constexpr Micros ms = 1000, second = 1000 * ms;
-constexpr Micros posted_for = 400 * ms;  // an ask or a grant that found no datagram until then is dropped
-constexpr Micros spare_every = 200 * ms, mend_every = 400 * ms, fresh_complaint = 1500 * ms,
-                 differed_for = 10 * second;
-constexpr std::size_t facts_a_datagram = 10, complaints_a_datagram = 4, counts_a_datagram = 12,
-                      most_posted = 8;
-// How far this machine's clock may be ahead of the one that told a server's start.
-constexpr Micros clocks_apart = 250 * ms;
-constexpr double spare_datagram = 120;  // bytes, about
+// Asks and grants that were not sent within this time are dropped.
+constexpr Micros outbox_timeout = 400 * ms;
+constexpr Micros counts_interval = 200 * ms, repair_interval = 400 * ms, max_complaint_age = 1500 * ms,
+                 mismatch_memory = 10 * second;
+constexpr std::size_t max_facts_per_datagram = 10, max_complaints_per_datagram = 4,
+                      max_counts_per_datagram = 12, max_queued_per_router = 8;
+// How far this machine's clock may be ahead of the clock that stamped a server's start.
+constexpr Micros max_clock_lead = 250 * ms;
+constexpr double counts_datagram_bytes = 120;  // approximately
 
-QuotaOptions quota_terms(const peers::Membership& membership, const ExchangeOptions& terms, Number self) {
+QuotaOptions quota_options(const peers::Membership& membership, const ExchangeOptions& options, Number self) {
     QuotaOptions made;
     made.self = self;
     made.routers = membership.routers();
-    made.grantors = terms.grantors;
-    made.window = terms.settings.cold_window;
-    made.lease_duration = terms.lease_duration;
-    made.seed = terms.seed;
-    made.now = terms.now.steady;
+    made.grantors = options.grantors;
+    made.window = options.settings.cold_window;
+    made.lease_duration = options.lease_duration;
+    made.seed = options.seed;
+    made.now = options.now.steady;
     return made;
 }
 
-// Of all that has to be alike for the bound on quotas to hold.
-std::uint32_t hash_of(const peers::Membership& membership, const ExchangeOptions& terms) {
-    auto& settings = terms.settings;
-    const std::array words = {1.0,  // of this form
-                              static_cast<double>(membership.routers()),
-                              static_cast<double>(terms.grantors),
-                              static_cast<double>(terms.lease_duration),
-                              settings.cold_from,
-                              settings.cold_multiple,
-                              settings.parent_cold_from,
-                              settings.parent_multiple,
-                              static_cast<double>(settings.cold),
-                              static_cast<double>(settings.cold_window),
-                              static_cast<double>(settings.parent_cold)};
-    return std::max(1U, XXH32(words.data(), sizeof words, 0));
+// A hash of all settings that have to be the same on all routers for the bound on quotas to hold.
+std::uint32_t hash_configuration(const peers::Membership& membership, const ExchangeOptions& options) {
+    auto& settings = options.settings;
+    const std::array values = {1.0,  // version of this list
+                               static_cast<double>(membership.routers()),
+                               static_cast<double>(options.grantors),
+                               static_cast<double>(options.lease_duration),
+                               settings.cold_from,
+                               settings.cold_multiple,
+                               settings.parent_cold_from,
+                               settings.parent_multiple,
+                               static_cast<double>(settings.cold),
+                               static_cast<double>(settings.cold_window),
+                               static_cast<double>(settings.parent_cold)};
+    return std::max(1U, XXH32(values.data(), sizeof values, 0));
 }
 
 }  // namespace
 
-Exchange::Exchange(peers::Membership& membership, const ExchangeOptions& terms)
+Exchange::Exchange(peers::Membership& membership, const ExchangeOptions& options)
     : membership(membership),
-      terms(terms),
-      hash(hash_of(membership, terms)),
-      facts(terms.settings.purge_done, membership.routers()),
-      quotas(quota_terms(membership, terms, membership.number_of_self())),
+      options(options),
+      configuration_hash(hash_configuration(membership, options)),
+      facts(options.settings.purge_done, membership.routers()),
+      quotas(quota_options(membership, options, membership.number_of_self())),
       request_counts(membership.number_of_self(), membership.routers()),
-      unlike(static_cast<std::size_t>(membership.routers())),
-      last(terms.now) {
+      digest_differs(static_cast<std::size_t>(membership.routers())),
+      current_time(options.now) {
     membership.carry(this);
 }
 
 Exchange::~Exchange() { membership.carry(nullptr); }
 
-// ---- what comes
+// ---- receiving
 
 void Exchange::unload(Number from, Life life, std::string_view bytes, Micros /*now*/) {
-    auto load = decode(bytes, last.unix);
-    if (load)
-        take(from, life, *load, last);
+    auto payload = decode(bytes, current_time.unix);
+    if (payload)
+        apply_payload(from, life, *payload, current_time);
     else
-        seen.malformed++;
+        totals.malformed++;
 }
 
-void Exchange::take(Number from, Life life, const Payload& load, const ClockReadings& now) {
-    if (terms.features.facts) {
-        for (auto& fact : load.facts) seen.facts_received += facts.receive(fact, now.unix, from);
-        if (load.digest != facts.digest(now.unix)) unlike[static_cast<std::size_t>(from)] = true;
+void Exchange::apply_payload(Number from, Life life, const Payload& payload, const ClockReadings& now) {
+    if (options.features.facts) {
+        for (auto& fact : payload.facts) totals.facts_received += facts.receive(fact, now.unix, from);
+        if (payload.digest != facts.digest(now.unix)) digest_differs[static_cast<std::size_t>(from)] = true;
     }
-    if (terms.features.quotas) {
-        // Guards against two sizes of the whole: who goes by other amounts is neither lent to nor borrowed
-        // from.
-        bool alike = load.configuration_hash == hash;
-        if (!alike) {
-            seen.configuration_mismatches++;
-            differed_at = now.steady;
+    if (options.features.quotas) {
+        // Guards against two sizes of one budget: a router with other settings neither lends to this one nor
+        // borrows from it.
+        bool matches = payload.configuration_hash == configuration_hash;
+        if (!matches) {
+            totals.configuration_mismatches++;
+            mismatch_seen_at = now.steady;
         }
-        if (alike)
-            for (auto& ask : load.asks) quotas.handle_ask(from, life, ask, now.steady);
-        if (alike)
-            for (auto& grant : load.grants) quotas.handle_grant(from, grant, now.steady);
+        if (matches)
+            for (auto& ask : payload.asks) quotas.handle_ask(from, life, ask, now.steady);
+        if (matches)
+            for (auto& grant : payload.grants) quotas.handle_grant(from, grant, now.steady);
     }
-    if (terms.features.health_reports && !load.complaints.empty()) {
+    if (options.features.health_reports && !payload.complaints.empty()) {
         auto view = membership.view(from, now.unix);
         double trust = view.state == peers::State::Alive && !view.ill ? 1 : 0.25;
-        for (auto& one : load.complaints) {
-            health_reports.receive(from, view.zone, trust, load.breadth, one, now.unix);
-            seen.complaints_received++;
+        for (auto& complaint : payload.complaints) {
+            health_reports.receive(from, view.zone, trust, payload.breadth, complaint, now.unix);
+            totals.complaints_received++;
         }
     }
-    if (terms.features.request_counts)
-        for (auto& one : load.counts) seen.counts_received += request_counts.receive(one, now.unix);
+    if (options.features.request_counts)
+        for (auto& count : payload.counts) totals.counts_received += request_counts.receive(count, now.unix);
 }
 
-// ---- what this router's own sources say
+// ---- lists and purges of this router's own coordinator
 
-feed::Listing Exchange::apply_listing(feed::Listing told, const ClockReadings& now) {
-    last = now;
-    if (terms.features.quotas && terms.settings.ratings_are_links) {
-        // Parents only: all routers share them, so one's part is small. A location's caches have few routers,
-        // whose parts are a lookup or more, and what they see answered raises them: pooled they were used
-        // less (docs/results.md).
-        if (told.complete) cold.clear();
-        for (auto& endpoint : told.caches) {
+feed::Listing Exchange::apply_listing(feed::Listing listing, const ClockReadings& now) {
+    current_time = now;
+    if (options.features.quotas && options.settings.ratings_are_links) {
+        // Parents only: all routers share them, so the share of one router is small. The caches of a location
+        // are shared by few routers. Their shares are one lookup or more, and grow with the answers that a
+        // router sees, so that pooled budgets were used less (docs/results.md).
+        if (listing.complete) cold_parents.clear();
+        for (auto& endpoint : listing.caches) {
             auto& entry = endpoint.entry;
             bool warm = entry.started <= 0 || now.unix >= entry.started + parent_cold();
             if (!is_parent(entry) || entry.listed == Listed::Gone || warm)
-                cold.erase(entry.id);
+                cold_parents.erase(entry.id);
             else
-                cold[entry.id] = entry;
+                cold_parents[entry.id] = entry;
         }
     }
-    return terms.features.facts ? facts.apply_listing(std::move(told), now.unix) : told;
+    return options.features.facts ? facts.apply_listing(std::move(listing), now.unix) : listing;
 }
 
 void Exchange::record_purge(const feed::PurgeNotice& notice, const ClockReadings& now) {
-    if (terms.features.facts) facts.record_purge(notice, now.unix);
+    if (options.features.facts) facts.record_purge(notice, now.unix);
 }
 
-ReplicatedFacts::Changes Exchange::tick(Micros live, const ClockReadings& now) {
-    last = now;
-    if (!cold.empty()) {
-        std::vector<ColdServer> told;
-        std::erase_if(cold, [&](auto& known) {
+ReplicatedFacts::Changes Exchange::tick(Micros live_since, const ClockReadings& now) {
+    current_time = now;
+    if (!cold_parents.empty()) {
+        std::vector<ColdServer> cold;
+        std::erase_if(cold_parents, [&](auto& known) {
             auto& entry = known.second;
             auto age = now.unix - entry.started;
             if (age >= parent_cold()) return true;
-            // As it stands at the end of a window: what is used now is weighed against all of the window
-            // before.
-            auto grown = age + terms.settings.cold_window - clocks_apart;
-            told.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
-                            whole_cold_budget(terms.settings, true, entry.rating, grown)});
+            // The budget at the end of a window, as what is used now counts against all of the window
+            // before that moment.
+            auto age_at_window_end = age + options.settings.cold_window - max_clock_lead;
+            cold.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
+                            whole_cold_budget(options.settings, true, entry.rating, age_at_window_end)});
             return false;
         });
-        quotas.set_cold_servers(told, now.steady);
-        auto there = [&](Number who) {
-            auto state = membership.state(who);
+        quotas.set_cold_servers(cold, now.steady);
+        auto is_reachable = [&](Number router) {
+            auto state = membership.state(router);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
         for (auto& [to, grant] : quotas.issue_grants(now.steady)) {
-            auto& post = out[to];
-            if (post.grants.size() < most_posted) post.grants.push_back(grant);
-            post.at = now.steady;
+            auto& queued = outbox[to];
+            if (queued.grants.size() < max_queued_per_router) queued.grants.push_back(grant);
+            queued.queued_at = now.steady;
         }
-        for (auto& [to, ask] : quotas.due_asks(there, now.steady)) {
-            auto& post = out[to];
-            if (post.asks.size() < most_posted) post.asks.push_back(ask);
-            post.at = now.steady;
+        for (auto& [to, ask] : quotas.due_asks(is_reachable, now.steady)) {
+            auto& queued = outbox[to];
+            if (queued.asks.size() < max_queued_per_router) queued.asks.push_back(ask);
+            queued.queued_at = now.steady;
         }
     }
-    // Each that is written to has its datagram at once while there are bytes; else it rides on the next one.
-    for (auto post = out.begin(); post != out.end();) {
-        bool empty = post->second.asks.empty() && post->second.grants.empty();
-        if (!empty) membership.tell(post->first, true, now.unix);
-        empty = post->second.asks.empty() && post->second.grants.empty();
-        bool old = now.steady - post->second.at >= posted_for;
-        post = empty || old ? out.erase(post) : std::next(post);
+    // Each receiver gets its own datagram at once while there are bytes, else its messages go with the next
+    // one.
+    for (auto queued = outbox.begin(); queued != outbox.end();) {
+        bool empty = queued->second.asks.empty() && queued->second.grants.empty();
+        if (!empty) membership.tell(queued->first, true, now.unix);
+        empty = queued->second.asks.empty() && queued->second.grants.empty();
+        bool expired = now.steady - queued->second.queued_at >= outbox_timeout;
+        queued = empty || expired ? outbox.erase(queued) : std::next(queued);
     }
-    tell_facts(now);
-    if (terms.features.request_counts && !facts_wait && now.unix >= spare_at &&
-        membership.spare(now.unix) > spare_datagram && request_counts.has_unsent()) {
+    send_facts(now);
+    if (options.features.request_counts && !facts_await_bytes && now.unix >= next_counts_datagram_at &&
+        membership.spare(now.unix) > counts_datagram_bytes && request_counts.has_unsent()) {
         membership.tell(1, membership.own_zone(), false, now.unix);
-        spare_at = now.unix + spare_every;
+        next_counts_datagram_at = now.unix + counts_interval;
     }
-    if (now.unix >= expire_at) {
+    if (now.unix >= next_expiry_at) {
         health_reports.expire(now.unix);
-        expire_at = now.unix + second / 2;
+        next_expiry_at = now.unix + second / 2;
     }
-    return terms.features.facts ? facts.tick(live, now.unix) : ReplicatedFacts::Changes{};
+    return options.features.facts ? facts.tick(live_since, now.unix) : ReplicatedFacts::Changes{};
 }
 
-// News of drains and purges does not wait for a probe: three others at once, and each that hears it for the
-// first time does the same, as with news of the membership.
-void Exchange::tell_facts(const ClockReadings& now) {
-    facts_wait = false;
-    if (!terms.features.facts) return;
+// Sends new drains and purges at once, without waiting for a probe, to three routers. Each router that
+// receives one for the first time does the same, as with changes of the membership.
+void Exchange::send_facts(const ClockReadings& now) {
+    facts_await_bytes = false;
+    if (!options.features.facts) return;
     if (facts.has_unsent()) {
-        facts_wait = !membership.tell(3, -1, true, now.unix);
+        facts_await_bytes = !membership.tell(3, -1, true, now.unix);
         return;
     }
-    // Guards against a router that is never told, as those who know use up their bytes on somebody who is cut
-    // off. Who knows of no fact speaks up too: its next datagrams may have no room for its digest.
-    if (now.unix < mend_at) return;
-    auto behind = std::find(unlike.begin(), unlike.end(), true);
-    if (behind == unlike.end()) return;
-    auto who = static_cast<Number>(behind - unlike.begin());
-    if (membership.state(who) != peers::State::Alive)
-        *behind = false;  // a datagram of its own says so anew
-    else if (membership.insist(who, now.unix))
-        mend_at = now.unix + mend_every;
+    // Anti-entropy. Guards against a router that never receives a fact because those that hold it use up
+    // their sends on a router that is cut off. A router without any facts sends its digest too, as its next
+    // datagrams may have no room for it.
+    if (now.unix < next_repair_at) return;
+    auto differing = std::find(digest_differs.begin(), digest_differs.end(), true);
+    if (differing == digest_differs.end()) return;
+    auto router = static_cast<Number>(differing - digest_differs.begin());
+    if (membership.state(router) != peers::State::Alive)
+        *differing = false;  // its next datagram sets the flag again
+    else if (membership.insist(router, now.unix))
+        next_repair_at = now.unix + repair_interval;
     else
-        facts_wait = true;
+        facts_await_bytes = true;
 }
 
 // ---- quotas
 
-// Guards against a router whose clock is ahead: by it the cold time would end early, and what it sends until
-// the true end would be bounded by nothing.
+// Guards against a router whose clock is ahead: its cold time would end early, and what it sends until the
+// true end would not be bounded.
 Micros Exchange::parent_cold() const {
-    bool shared = terms.features.quotas && terms.settings.ratings_are_links;
-    return terms.settings.parent_cold + (shared ? clocks_apart : 0);
+    bool shared = options.features.quotas && options.settings.ratings_are_links;
+    return options.settings.parent_cold + (shared ? max_clock_lead : 0);
 }
 
 std::vector<CacheId> Exchange::cold_servers() const {
-    std::vector<CacheId> all;
-    for (auto& [id, entry] : cold) all.push_back(id);
-    return all;
+    std::vector<CacheId> ids;
+    for (auto& [id, entry] : cold_parents) ids.push_back(id);
+    return ids;
 }
 
 double Exchange::available_quota(CacheId server, const ClockReadings& now) {
-    return cold.contains(server) ? quotas.available(server, now.steady) : -1;
+    return cold_parents.contains(server) ? quotas.available(server, now.steady) : -1;
 }
 Micros Exchange::consume(CacheId server, double work, Micros tag, const ClockReadings& now) {
     return quotas.consume(server, work, tag, now.steady);
@@ -229,98 +232,101 @@
 void Exchange::refund(CacheId server, double work, Micros tag, const ClockReadings& now) {
     quotas.refund(server, work, tag, now.steady);
 }
-void Exchange::record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now) {
-    quotas.record_unmet_demand(server, work, usual, now.steady);
+void Exchange::record_unmet_demand(CacheId server, double work, double lookup_work,
+                                   const ClockReadings& now) {
+    quotas.record_unmet_demand(server, work, lookup_work, now.steady);
 }
 bool Exchange::configuration_mismatch_seen(const ClockReadings& now) const {
-    return differed_at > 0 && now.steady - differed_at < differed_for;
+    return mismatch_seen_at > 0 && now.steady - mismatch_seen_at < mismatch_memory;
 }
 
-// ---- judgements
+// ---- peer health reports
 
-void Exchange::report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now) {
-    if (!terms.features.health_reports) return;
-    bool news = false;
-    for (auto& one : told)
-        news |= std::none_of(complaints.begin(), complaints.end(),
-                             [&](auto& known) { return known.server == one.server; });
+void Exchange::report_health(const std::vector<Testimony>& own_complaints, int measured,
+                             const ClockReadings& now) {
+    if (!options.features.health_reports) return;
+    bool has_new = false;
+    for (auto& own : own_complaints)
+        has_new |= std::none_of(complaints.begin(), complaints.end(),
+                                [&](auto& known) { return known.server == own.server; });
     complaints.clear();
-    for (auto& one : told)
+    for (auto& own : own_complaints)
         complaints.push_back(
-            {one.server, static_cast<std::uint32_t>(one.started / ms), one.samples, one.bad, one.slow, 0});
-    breadth = {measured, static_cast<int>(told.size())};
-    complaints_at = now.unix;
-    if (news) membership.tell(3, membership.own_zone(), true, now.unix);
+            {own.server, static_cast<std::uint32_t>(own.started / ms), own.samples, own.bad, own.slow, 0});
+    breadth = {measured, static_cast<int>(own_complaints.size())};
+    complaints_updated_at = now.unix;
+    if (has_new) membership.tell(3, membership.own_zone(), true, now.unix);
 }
 
 Hearsay Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
     return health_reports.aggregate(server, static_cast<std::uint64_t>(started / ms), now.unix);
 }
 
-// ---- counts
+// ---- request counts
 
 int Exchange::count_request(ObjectId object, const ClockReadings& now) {
-    return terms.features.request_counts ? request_counts.count_request(object, now.unix) : 0;
+    return options.features.request_counts ? request_counts.count_request(object, now.unix) : 0;
 }
 
 int Exchange::alive_routers_in_zone() const {
-    if (!terms.features.request_counts) return 1;
+    if (!options.features.request_counts) return 1;
     int count = 1;
-    for (Number who = 0; who < membership.routers(); who++)
-        if (who != membership.number_of_self() && membership.state(who) == peers::State::Alive &&
-            membership.zone_of(who) == membership.own_zone())
+    for (Number router = 0; router < membership.routers(); router++)
+        if (router != membership.number_of_self() && membership.state(router) == peers::State::Alive &&
+            membership.zone_of(router) == membership.own_zone())
             count++;
     return count;
 }
 
-// ---- what rides along
+// ---- sending
 
 std::string Exchange::load(Number to, std::size_t room, Micros now) {
-    Payload load;
-    load.configuration_hash = terms.features.quotas ? hash : 0;
-    load.digest = terms.features.facts ? facts.digest(now) : 0;
-    auto post = out.find(to);
-    if (post != out.end()) {
-        load.grants = post->second.grants;
-        load.asks = post->second.asks;
+    Payload payload;
+    payload.configuration_hash = options.features.quotas ? configuration_hash : 0;
+    payload.digest = options.features.facts ? facts.digest(now) : 0;
+    auto queued = outbox.find(to);
+    if (queued != outbox.end()) {
+        payload.grants = queued->second.grants;
+        payload.asks = queued->second.asks;
     }
-    auto place = static_cast<std::size_t>(to);
-    // Guards against a router without facts that nobody hears say so: without quotas its payload would be
-    // empty, and an empty one is not heard.
-    load.send_if_empty = terms.features.facts && unlike[place];
-    std::size_t news = 0;
-    if (terms.features.facts) {
-        load.facts = facts.next_to_send(facts_a_datagram, now, to);
-        news = load.facts.size();
-        if (unlike[place])
-            for (auto& fact : facts.next_in_rotation(facts_a_datagram - news, now))
-                load.facts.push_back(fact);
+    auto index = static_cast<std::size_t>(to);
+    // Guards against a router without facts whose digest nobody receives: with quotas off its payload would
+    // be empty, and an empty payload is not read.
+    payload.send_if_empty = options.features.facts && digest_differs[index];
+    std::size_t new_facts = 0;
+    if (options.features.facts) {
+        payload.facts = facts.next_to_send(max_facts_per_datagram, now, to);
+        new_facts = payload.facts.size();
+        if (digest_differs[index])
+            for (auto& fact : facts.next_in_rotation(max_facts_per_datagram - new_facts, now))
+                payload.facts.push_back(fact);
     }
-    bool neighbour = membership.zone_of(to) == membership.own_zone();
-    if (terms.features.health_reports && now - complaints_at < fresh_complaint)
-        for (std::size_t i = 0; i < std::min(complaints.size(), complaints_a_datagram); i++) {
-            auto one = complaints[(complaint_turn + i) % complaints.size()];
-            one.age = now - complaints_at;
-            load.complaints.push_back(one);
+    bool same_zone = membership.zone_of(to) == membership.own_zone();
+    if (options.features.health_reports && now - complaints_updated_at < max_complaint_age)
+        for (std::size_t i = 0; i < std::min(complaints.size(), max_complaints_per_datagram); i++) {
+            auto complaint = complaints[(complaint_cursor + i) % complaints.size()];
+            complaint.age = now - complaints_updated_at;
+            payload.complaints.push_back(complaint);
         }
-    complaint_turn += load.complaints.size();
-    load.breadth = breadth;
-    // Guards against counts that take the bytes saved up for facts: the membership gives all its room then.
-    if (terms.features.request_counts && neighbour && !facts_wait)
-        load.counts = request_counts.next_to_send(counts_a_datagram, now);
-    auto fitted = encode(load, room, now);
-    for (auto i = fitted.facts; i < news; i++) facts.restore_unsent(load.facts[i]);
-    if (fitted.facts == load.facts.size()) unlike[place] = false;
-    for (auto i = fitted.counts; i < load.counts.size(); i++)
-        request_counts.restore_unsent(load.counts[i].name);
-    if (post != out.end()) {
-        auto& asks = post->second.asks;
-        auto& grants = post->second.grants;
-        asks.erase(asks.begin(), asks.begin() + static_cast<std::ptrdiff_t>(fitted.asks));
-        grants.erase(grants.begin(), grants.begin() + static_cast<std::ptrdiff_t>(fitted.grants));
+    complaint_cursor += payload.complaints.size();
+    payload.breadth = breadth;
+    // Guards against counts that use the bytes saved up for facts, as the membership then offers all its
+    // room.
+    if (options.features.request_counts && same_zone && !facts_await_bytes)
+        payload.counts = request_counts.next_to_send(max_counts_per_datagram, now);
+    auto encoded = encode(payload, room, now);
+    for (auto i = encoded.facts; i < new_facts; i++) facts.restore_unsent(payload.facts[i]);
+    if (encoded.facts == payload.facts.size()) digest_differs[index] = false;
+    for (auto i = encoded.counts; i < payload.counts.size(); i++)
+        request_counts.restore_unsent(payload.counts[i].name);
+    if (queued != outbox.end()) {
+        auto& asks = queued->second.asks;
+        auto& grants = queued->second.grants;
+        asks.erase(asks.begin(), asks.begin() + static_cast<std::ptrdiff_t>(encoded.asks));
+        grants.erase(grants.begin(), grants.begin() + static_cast<std::ptrdiff_t>(encoded.grants));
     }
-    seen.payload_bytes += fitted.bytes.size();
-    return fitted.bytes;
+    totals.payload_bytes += encoded.bytes.size();
+    return encoded.bytes;
 }
 
 }  // namespace quillgrade::shared
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -1,20 +1,24 @@
-// What the routers of a tier share, as one party of it: facts, quotas, health_reports, counts. It rides on
-// the datagrams of a peers::Membership, is told the time, and gives back values. No clock, socket or thread.
+// One router's side of the state that the routers of a tier share: replicated facts (drains and purges),
+// quotas of cold servers, peer health reports, and request counts. It is carried by the datagrams of a
+// peers::Membership, is told the time, and returns values. It has no clock, socket or thread of its own, and
+// is not thread-safe.
 //
-//     Exchange exchange(membership, terms);
-//     exchange.at(times);                                // before the membership hears what came
-//     listing = exchange.listed(listing, times);         // the own coordinator's lists and purges, before
-//     the module auto changes = exchange.tick(live_since, times);   // what else the module has to be told
-//     server.right = exchange.right(id, times);          // at the start of a turn, for all of cold_servers()
-//     auto until = exchange.use(id, work, now, times);   // at its end, for what was decided to be sent
+//     Exchange exchange(membership, options);
+//     exchange.set_time(now);                                // before the membership reads its datagrams
+//     listing = exchange.apply_listing(listing, now);        // lists and purges of this router's own
+//     exchange.record_purge(notice, now);                    //   coordinator, before the routing module
+//     auto changes = exchange.tick(live_since, now);         // what else the routing module has to be told
 //
-// What it promises:
-//   - Alone, a router decides as without it, but for cold budgets, see quotas.hpp. What is heard closes
-//   servers,
-//     bounds ages, speaks where own samples are too few, and raises counts by what others were truly asked.
-//   - The bounds of facts.hpp, quotas.hpp, health_reports.hpp and request_counts.hpp, all in memory set by
-//   their `most`.
-//   - It sends nothing by itself but through the membership, so within the circle's bytes a second.
+//     server.right = exchange.available_quota(id, now);      // at the start of a turn, for cold_servers()
+//     auto write_until = exchange.consume(id, work, tag, now);  // at its end, for what is to be sent
+//
+// Contract:
+//   - A router that receives nothing decides as it would without an Exchange, except for cold budgets (see
+//     quotas.hpp). What is received closes servers, bounds ages, adds to own samples where these are too few,
+//     and raises request counts by requests that others truly had.
+//   - The bounds of facts.hpp, quotas.hpp, health_reports.hpp and request_counts.hpp hold, also on memory.
+//   - It sends only through the membership, so within the membership's budget of bytes per second.
+//   - A payload that can't be decoded is dropped whole and counted; nothing throws because of it.
 #pragma once
 
 #include <deque>
@@ -27,11 +31,13 @@
 
 namespace quillgrade::shared {
 
+// One moment by two clocks, in microseconds.
 struct ClockReadings {
     Micros unix = 0;    // for what is compared between machines: purges, starts, epochs
-    Micros steady = 0;  // for the lengths of leases
+    Micros steady = 0;  // for the durations of leases
 };
 
+// What is shared. A feature that is off is neither sent nor received.
 struct Features {
     bool facts = true, quotas = true, health_reports = true, request_counts = true;
     bool operator==(const Features&) const = default;
@@ -39,8 +45,8 @@
 
 struct ExchangeOptions {
     Features features{};
-    Bounds settings{};  // of the settings
-    int grantors = 4;
+    Bounds settings{};
+    int grantors = 4;  // see QuotaOptions
     Micros lease_duration = 3'000'000;
     std::uint32_t seed = 1;
     ClockReadings now{};
@@ -48,37 +54,48 @@
 
 class Exchange : public peers::Piggyback {
 public:
-    // `membership` outlives this; it carries it from now on.
-    Exchange(peers::Membership& membership, const ExchangeOptions& terms);
+    // Registers itself with `membership`, which has to outlive it, until it is destroyed.
+    Exchange(peers::Membership& membership, const ExchangeOptions& options);
     ~Exchange() override;
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
     Exchange(Exchange&&) = delete;
     Exchange& operator=(Exchange&&) = delete;
 
-    void set_time(const ClockReadings& now) { last = now; }
-    feed::Listing apply_listing(feed::Listing told, const ClockReadings& now);
+    void set_time(const ClockReadings& now) { current_time = now; }
+    // Learns from a list of this router's own coordinator, and returns it with the servers closed that other
+    // routers report as draining or gone.
+    feed::Listing apply_listing(feed::Listing listing, const ClockReadings& now);
     void record_purge(const feed::PurgeNotice& notice, const ClockReadings& now);
-    ReplicatedFacts::Changes tick(Micros live, const ClockReadings& now);
+    // Sends what is due. `live_since`: since when this router hears its own coordinator without a break, 0:
+    // it does not.
+    ReplicatedFacts::Changes tick(Micros live_since, const ClockReadings& now);
 
-    // How long after its start, by this machine's clock, a parent is to be taken for cold: where budgets are
-    // shared, longer than the settings say by as much as the clock may be ahead.
+    // How long after its start, by this machine's clock, a parent counts as cold. Where budgets are shared
+    // this is longer than in the settings by as much as this machine's clock may be ahead.
     Micros parent_cold() const;
-    // Servers whose cold budget is shared now.
+    // The servers whose cold budget is shared now.
     std::vector<CacheId> cold_servers() const;
-    double available_quota(CacheId server, const ClockReadings& now);  // below 0: its budget is not shared
+    // What this router may send to the server now, as sending time in microseconds; negative where the
+    // server's budget is not shared.
+    double available_quota(CacheId server, const ClockReadings& now);
+    // These three are as in Quotas.
     Micros consume(CacheId server, double work, Micros tag, const ClockReadings& now);
     void refund(CacheId server, double work, Micros tag, const ClockReadings& now);
-    void record_unmet_demand(CacheId server, double work, double usual, const ClockReadings& now);
+    void record_unmet_demand(CacheId server, double work, double lookup_work, const ClockReadings& now);
 
-    // What this router holds against servers, as it stands now.
-    void report_health(const std::vector<Testimony>& told, int measured, const ClockReadings& now);
+    // Replaces the complaints that this router has about servers. `measured`: how many servers it has
+    // measured lately.
+    void report_health(const std::vector<Testimony>& own_complaints, int measured, const ClockReadings& now);
+    // What other routers report of the process of the server that started at `started`.
     Hearsay peer_health(CacheId server, Micros started, const ClockReadings& now) const;
     std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
-    // A first part is asked for: how many other routers of the location were asked for it too.
+    // Counts a request for the first part of an object. Returns how many other routers of the location are
+    // known to have been asked for it.
     int count_request(ObjectId object, const ClockReadings& now);
-    int alive_routers_in_zone() const;  // of the location, this one included
+    // The routers of the location that are alive, this one included; 1 where request counts are not shared.
+    int alive_routers_in_zone() const;
 
     std::string load(Number to, std::size_t room, Micros now) override;
     void unload(Number from, Life life, std::string_view bytes, Micros now) override;
@@ -87,44 +104,46 @@
         std::uint64_t malformed = 0, configuration_mismatches = 0, facts_received = 0, counts_received = 0,
                       complaints_received = 0, payload_bytes = 0;
     };
-    const Counters& counters() const { return seen; }
+    const Counters& counters() const { return totals; }
     const Quotas::Counters& quota_counters() const { return quotas.counters(); }
     Quotas::Usage quota_usage(CacheId server, const ClockReadings& now) {
         return quotas.usage(server, now.steady);
     }
     const ReplicatedFacts& known_facts() const { return facts; }
     const RequestCounts& known_counts() const { return request_counts; }
-    bool configuration_mismatch_seen(
-        const ClockReadings& now) const;  // routers whose amounts are not the same were heard lately
+    // Whether a router with other settings for cold budgets was heard lately.
+    bool configuration_mismatch_seen(const ClockReadings& now) const;
 
 private:
-    struct Out {
+    // Asks and grants for one router that have not been sent yet.
+    struct OutgoingMessages {
         std::vector<Ask> asks;
         std::vector<Grant> grants;
-        Micros at = 0;
+        Micros queued_at = 0;
     };
-    void take(Number from, Life life, const Payload& load, const ClockReadings& now);
-    void tell_facts(const ClockReadings& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == terms.settings.parent_kind; }
+    void apply_payload(Number from, Life life, const Payload& payload, const ClockReadings& now);
+    void send_facts(const ClockReadings& now);
+    bool is_parent(const ListEntry& entry) const { return entry.kind == options.settings.parent_kind; }
 
     peers::Membership& membership;
-    ExchangeOptions terms;
-    std::uint32_t hash;
+    ExchangeOptions options;
+    std::uint32_t configuration_hash;
     ReplicatedFacts facts;
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
-    std::map<CacheId, ListEntry> cold;
+    std::map<CacheId, ListEntry> cold_parents;
     std::map<CacheId, int> zones;  // of the servers complained of
     std::vector<Complaint> complaints;
     Breadth breadth;
-    Micros complaints_at = 0, spare_at = 0, mend_at = 0, expire_at = 0, differed_at = 0;
-    std::size_t complaint_turn = 0;
-    std::map<Number, Out> out;
-    std::vector<bool> unlike;  // by router: its facts differ from mine
-    bool facts_wait = false;   // some are to be told, and the bytes for it are being saved up
-    ClockReadings last{};
-    Counters seen;
+    Micros complaints_updated_at = 0, next_counts_datagram_at = 0, next_repair_at = 0, next_expiry_at = 0,
+           mismatch_seen_at = 0;
+    std::size_t complaint_cursor = 0;
+    std::map<Number, OutgoingMessages> outbox;
+    std::vector<bool> digest_differs;  // by router: its facts differ from this router's
+    bool facts_await_bytes = false;    // facts are to be sent, and bytes are being saved up for them
+    ClockReadings current_time{};
+    Counters totals;
 };
 
 }  // namespace quillgrade::shared
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -12,267 +12,273 @@
 
 namespace {
 
-constexpr Micros ms = 1000, second = 1000 * ms, settled = 150 * ms;
-constexpr int told_at_once = 3;
+constexpr Micros ms = 1000, second = 1000 * ms, digest_delay = 150 * ms;
+constexpr int urgent_sends = 3;
 
-std::uint64_t in_ms(Micros time) { return time > 0 ? static_cast<std::uint64_t>(time / ms) : 0; }
+std::uint64_t to_ms(Micros time) { return time > 0 ? static_cast<std::uint64_t>(time / ms) : 0; }
 
 }  // namespace
 
 bool supersedes(const Fact& one, const Fact& other) {
-    // The earlier birth of two that are else the same, so that all hold the same one.
+    // Of two facts that are otherwise the same, the one first heard earlier wins, so that all routers hold
+    // it.
     return std::tuple(one.time, one.gone, other.first_heard) >
            std::tuple(other.time, other.gone, one.first_heard);
 }
 
 ReplicatedFacts::ReplicatedFacts(Micros purge_done, int routers)
-    : purge_done(purge_done), times(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
+    : purge_done(purge_done), sends_per_fact(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
 
-// ---- what this router's own sources say
+// ---- from this router's own coordinator
 
-feed::Listing ReplicatedFacts::apply_listing(feed::Listing told, Micros now) {
-    std::set<CacheId> named;
-    for (auto& endpoint : told.caches) {
+feed::Listing ReplicatedFacts::apply_listing(feed::Listing listing, Micros now) {
+    std::set<CacheId> listed_ids;
+    for (auto& endpoint : listing.caches) {
         auto& entry = endpoint.entry;
-        named.insert(entry.id);
-        own(entry.id, in_ms(entry.started), entry.listed, now);
+        listed_ids.insert(entry.id);
+        learn(entry.id, to_ms(entry.started), entry.listed, now);
         if (entry.listed == Listed::Gone) {
             servers.erase(entry.id);
             continue;
         }
-        auto known = servers.find(entry.id);
-        bool closed = known != servers.end() && known->second.told.entry.listed == Listed::Ready &&
-                      known->second.shown != Listed::Ready;
-        auto& kept = servers[entry.id];
-        kept.told = endpoint;
-        entry.listed = kept.shown = narrowed(kept, heard_live, now);
+        auto previous = servers.find(entry.id);
+        bool closed = previous != servers.end() && previous->second.endpoint.entry.listed == Listed::Ready &&
+                      previous->second.reported != Listed::Ready;
+        auto& server = servers[entry.id];
+        server.endpoint = endpoint;
+        entry.listed = server.reported = effective_state(server, coordinator_live_since, now);
         if (closed && entry.listed == Listed::Ready && reopened.size() < max_facts)
             reopened.push_back(entry.id);
     }
-    if (!told.complete) return told;
+    if (!listing.complete) return listing;
     for (auto server = servers.begin(); server != servers.end();) {
-        if (named.contains(server->first)) {
+        if (listed_ids.contains(server->first)) {
             server++;
             continue;
         }
-        own(server->first, in_ms(server->second.told.entry.started), Listed::Gone, now);
+        learn(server->first, to_ms(server->second.endpoint.entry.started), Listed::Gone, now);
         server = servers.erase(server);
     }
-    return told;
+    return listing;
 }
 
-void ReplicatedFacts::own(CacheId id, std::uint64_t start, Listed listed, Micros now) {
-    auto found = facts.find({FactSubject::Server, id});
+void ReplicatedFacts::learn(CacheId id, std::uint64_t start, Listed listed, Micros now) {
+    auto found = records.find({FactSubject::Server, id});
     if (listed == Listed::Ready) {
-        // Taken back by those who said it: it is no fact any more, here.
-        if (found != facts.end() && found->second.own && found->second.fact.time <= start) {
+        // The coordinator has taken back what it said, so the fact lapses on this router.
+        if (found != records.end() && found->second.own && found->second.fact.time <= start) {
             found->second.own = false;
             found->second.lapsed = true;
-            set_left(found->first, found->second, 0);
+            set_sends_left(found->first, found->second, 0);
         }
         return;
     }
-    // What is long over where the router starts is known to all.
-    enter({FactSubject::Server, id, start, listed == Listed::Gone, in_ms(now)}, true, now);
+    // The first list after a start may hold drains and ends from long ago, which other routers hold already.
+    insert_or_update({FactSubject::Server, id, start, listed == Listed::Gone, to_ms(now)}, true, now);
 }
 
 void ReplicatedFacts::record_purge(const feed::PurgeNotice& notice, Micros now) {
     auto key = notice.object ? Key{FactSubject::Object, notice.object}
                              : Key{FactSubject::Group, static_cast<std::uint64_t>(notice.group)};
-    enter({key.first, key.second, in_ms(notice.at), false, in_ms(now)}, true, now);
+    insert_or_update({key.first, key.second, to_ms(notice.at), false, to_ms(now)}, true, now);
 }
 
-// ---- what others say
+// ---- from other routers
 
 bool ReplicatedFacts::receive(const Fact& fact, Micros now, Number from) {
-    if (fact.subject != FactSubject::Server && fact.time > in_ms(now + max_clock_skew)) return false;
-    auto* known = enter(fact, false, now);
-    if (!known) return false;
-    known->teller = from;
-    if (fact.subject != FactSubject::Server && !std::exchange(known->to_do, true))
-        untold_purges.emplace_back(fact.subject, fact.key);
+    if (fact.subject != FactSubject::Server && fact.time > to_ms(now + max_clock_skew)) return false;
+    auto* record = insert_or_update(fact, false, now);
+    if (!record) return false;
+    record->first_sender = from;
+    if (fact.subject != FactSubject::Server && !std::exchange(record->purge_pending, true))
+        pending_purges.emplace_back(fact.subject, fact.key);
     return true;
 }
 
-ReplicatedFacts::Known* ReplicatedFacts::enter(const Fact& told, bool own, Micros now) {
-    auto fact = told;
-    // One born in the future, as a clock ahead has it, is as old as can be said here.
-    fact.first_heard = std::min(fact.first_heard, in_ms(now));
+ReplicatedFacts::Record* ReplicatedFacts::insert_or_update(const Fact& received, bool own, Micros now) {
+    auto fact = received;
+    // A clock that is ahead stamps facts in the future; such a fact counts as first heard now.
+    fact.first_heard = std::min(fact.first_heard, to_ms(now));
     Key key{fact.subject, fact.key};
-    auto found = facts.find(key);
-    if (found == facts.end()) {
-        if (facts.size() >= max_facts && !own) {
-            seen_refused++;
+    auto found = records.find(key);
+    if (found == records.end()) {
+        if (records.size() >= max_facts && !own) {
+            refused_count++;
             return nullptr;
         }
-        // Guards against memory that grows: what this router was told itself takes the place of the oldest.
-        if (facts.size() >= max_facts) forget(facts.find(by_order.begin()->second));
-        found = facts.emplace(key, Known{fact}).first;
+        // Guards against growing memory: a fact of this router's own coordinator replaces the oldest one.
+        if (records.size() >= max_facts) erase(records.find(by_sequence.begin()->second));
+        found = records.emplace(key, Record{fact}).first;
     } else {
-        auto& known = found->second;
-        if (own && known.fact.time == fact.time && known.fact.gone == fact.gone) known.own = true;
-        if (!supersedes(fact, known.fact)) return nullptr;
-        bool more = known.fact.time != fact.time || known.fact.gone != fact.gone;
-        if (!more) {  // only its birth
-            known.fact = fact;
+        auto& record = found->second;
+        if (own && record.fact.time == fact.time && record.fact.gone == fact.gone) record.own = true;
+        if (!supersedes(fact, record.fact)) return nullptr;
+        bool changed = record.fact.time != fact.time || record.fact.gone != fact.gone;
+        if (!changed) {  // only first heard earlier
+            record.fact = fact;
             return nullptr;
         }
-        take_out(key, known);
-        known.fact = fact;
-        known.lapsed = false;
+        remove_from_indexes(key, record);
+        record.fact = fact;
+        record.lapsed = false;
     }
-    auto& known = found->second;
-    known.own = own;
-    known.teller = no_router;
-    known.passed_over = 0;
-    known.heard = now;
-    known.order = ++last_order;
-    put_in(key, known);
-    return &known;
+    auto& record = found->second;
+    record.own = own;
+    record.first_sender = no_router;
+    record.times_withheld = 0;
+    record.updated_at = now;
+    record.sequence = ++last_sequence;
+    add_to_indexes(key, record);
+    return &record;
 }
 
-void ReplicatedFacts::take_out(const Key& key, Known& known) {
-    set_left(key, known, 0);
-    by_order.erase(known.order);
-    if (key.first != FactSubject::Server) purge_ends.erase({end_of(known.fact), key});
+void ReplicatedFacts::remove_from_indexes(const Key& key, Record& record) {
+    set_sends_left(key, record, 0);
+    by_sequence.erase(record.sequence);
+    if (key.first != FactSubject::Server) purge_expiries.erase({expiry_ms(record.fact), key});
 }
 
-void ReplicatedFacts::put_in(const Key& key, Known& known) {
-    set_left(key, known, times);
-    by_order.emplace(known.order, key);
-    if (key.first != FactSubject::Server) purge_ends.emplace(end_of(known.fact), key);
+void ReplicatedFacts::add_to_indexes(const Key& key, Record& record) {
+    set_sends_left(key, record, sends_per_fact);
+    by_sequence.emplace(record.sequence, key);
+    if (key.first != FactSubject::Server) purge_expiries.emplace(expiry_ms(record.fact), key);
 }
 
-void ReplicatedFacts::set_left(const Key& key, Known& known, int left) {
-    if (known.left > 0) waiting.erase({known.left, known.order, key});
-    known.left = left;
-    if (left > 0) waiting.insert({left, known.order, key});
+void ReplicatedFacts::set_sends_left(const Key& key, Record& record, int sends_left) {
+    if (record.sends_left > 0) send_queue.erase({record.sends_left, record.sequence, key});
+    record.sends_left = sends_left;
+    if (sends_left > 0) send_queue.insert({sends_left, record.sequence, key});
 }
 
-ReplicatedFacts::Place ReplicatedFacts::forget(Place place) {
-    take_out(place->first, place->second);
-    return facts.erase(place);
+ReplicatedFacts::Iterator ReplicatedFacts::erase(Iterator position) {
+    remove_from_indexes(position->first, position->second);
+    return records.erase(position);
 }
 
-std::uint64_t ReplicatedFacts::end_of(const Fact& purge) const {
-    return purge.time + in_ms(purge_done + 2 * second);
+std::uint64_t ReplicatedFacts::expiry_ms(const Fact& purge) const {
+    return purge.time + to_ms(purge_done + 2 * second);
 }
 
-void ReplicatedFacts::forget_what_is_over(Micros now) {
-    while (!purge_ends.empty() && in_ms(now) > purge_ends.begin()->first)
-        forget(facts.find(purge_ends.begin()->second));
-    // Servers stand before all purges. A server's fact is kept as long as it closes the server here.
+void ReplicatedFacts::erase_expired(Micros now) {
+    while (!purge_expiries.empty() && to_ms(now) > purge_expiries.begin()->first)
+        erase(records.find(purge_expiries.begin()->second));
+    // Facts about servers sort before all purges. One is kept as long as it closes a listed server here.
     static_assert(FactSubject::Server < FactSubject::Object && FactSubject::Server < FactSubject::Group);
-    for (auto known = facts.begin(); known != facts.end() && known->first.first == FactSubject::Server;) {
-        bool over = !current(known->second, now) && !servers.contains(known->first.second);
-        known = over ? forget(known) : std::next(known);
+    for (auto record = records.begin();
+         record != records.end() && record->first.first == FactSubject::Server;) {
+        bool over = !is_current(record->second, now) && !servers.contains(record->first.second);
+        record = over ? erase(record) : std::next(record);
     }
 }
 
-// ---- what follows for the router
+// ---- effect on the routing module
 
-// Whether no other server of its role and location is open here.
-bool ReplicatedFacts::last_of_its_role(const Entry& entry) const {
+// Whether no other server of the same kind and location is open.
+bool ReplicatedFacts::is_last_of_its_role(const ListedServer& server) const {
     for (auto& [id, other] : servers)
-        if (id != entry.told.entry.id && other.shown == Listed::Ready &&
-            other.told.entry.kind == entry.told.entry.kind && other.told.entry.zone == entry.told.entry.zone)
+        if (id != server.endpoint.entry.id && other.reported == Listed::Ready &&
+            other.endpoint.entry.kind == server.endpoint.entry.kind &&
+            other.endpoint.entry.zone == server.endpoint.entry.zone)
             return false;
     return true;
 }
 
-Listed ReplicatedFacts::narrowed(const Entry& entry, Micros live, Micros now) {
-    auto& told = entry.told.entry;
-    if (told.listed != Listed::Ready) return told.listed;
-    auto found = facts.find({FactSubject::Server, told.id});
-    if (found == facts.end()) return told.listed;
-    auto& known = found->second;
-    // What was said of an earlier process is nothing against this one.
-    if (known.fact.time < in_ms(told.started)) return told.listed;
-    if (known.own) return told.listed;  // and the list was right after it
-    if (!known.lapsed) {
-        Micros since = std::max(known.heard, live);
-        bool deaf = live == 0;
-        if (!deaf && now - since >= contradiction_timeout) known.lapsed = true;
+Listed ReplicatedFacts::effective_state(const ListedServer& server, Micros live_since, Micros now) {
+    auto& entry = server.endpoint.entry;
+    if (entry.listed != Listed::Ready) return entry.listed;
+    auto found = records.find({FactSubject::Server, entry.id});
+    if (found == records.end()) return entry.listed;
+    auto& record = found->second;
+    // A fact about an earlier process of the server does not apply to this one.
+    if (record.fact.time < to_ms(entry.started)) return entry.listed;
+    if (record.own) return entry.listed;  // the list that says ready is the newer one
+    if (!record.lapsed) {
+        Micros contradicted_since = std::max(record.updated_at, live_since);
+        bool disconnected = live_since == 0;
+        if (!disconnected && now - contradicted_since >= contradiction_timeout) record.lapsed = true;
     }
-    if (known.lapsed) return told.listed;
-    // A location's last path is shut by hearsay only where nothing better can be heard.
-    if (live > 0 && entry.shown == Listed::Ready && last_of_its_role(entry)) return told.listed;
+    if (record.lapsed) return entry.listed;
+    // The last open server of a location is closed by other routers' reports only while this router does not
+    // hear its own coordinator.
+    if (live_since > 0 && server.reported == Listed::Ready && is_last_of_its_role(server))
+        return entry.listed;
     return Listed::Draining;
 }
 
-ReplicatedFacts::Changes ReplicatedFacts::tick(Micros live, Micros now) {
+ReplicatedFacts::Changes ReplicatedFacts::tick(Micros live_since, Micros now) {
     Changes changes;
     changes.reopened = std::exchange(reopened, {});
-    heard_live = live;
-    for (auto& [id, entry] : servers) {
-        auto shown = narrowed(entry, live, now);
-        if (shown == entry.shown) continue;
-        (shown == Listed::Ready ? changes.opened : changes.closed)++;
-        entry.shown = shown;
-        changes.listing.caches.push_back(entry.told);
-        changes.listing.caches.back().entry.listed = shown;
+    coordinator_live_since = live_since;
+    for (auto& [id, server] : servers) {
+        auto state = effective_state(server, live_since, now);
+        if (state == server.reported) continue;
+        (state == Listed::Ready ? changes.opened : changes.closed)++;
+        server.reported = state;
+        changes.listing.caches.push_back(server.endpoint);
+        changes.listing.caches.back().entry.listed = state;
     }
-    for (auto& key : std::exchange(untold_purges, {})) {
-        auto found = facts.find(key);
-        if (found == facts.end() || !std::exchange(found->second.to_do, false)) continue;
+    for (auto& key : std::exchange(pending_purges, {})) {
+        auto found = records.find(key);
+        if (found == records.end() || !std::exchange(found->second.purge_pending, false)) continue;
         auto& fact = found->second.fact;
         changes.purges.push_back({fact.subject == FactSubject::Object ? fact.key : 0,
                                   fact.subject == FactSubject::Group ? static_cast<int>(fact.key) : 0,
                                   static_cast<Micros>(fact.time) * ms});
     }
-    forget_what_is_over(now);
+    erase_expired(now);
     return changes;
 }
 
-// ---- telling
+// ---- sending
 
-bool ReplicatedFacts::current(const Known& known, Micros now) {
-    return !known.lapsed && in_ms(now) <= known.fact.first_heard + in_ms(gossip_lifetime);
+bool ReplicatedFacts::is_current(const Record& record, Micros now) {
+    return !record.lapsed && to_ms(now) <= record.fact.first_heard + to_ms(gossip_lifetime);
 }
 
 bool ReplicatedFacts::has_unsent() const {
-    return !waiting.empty() && waiting.rbegin()->left > times - told_at_once;
+    return !send_queue.empty() && send_queue.rbegin()->sends_left > sends_per_fact - urgent_sends;
 }
 
-// Guards against a cost that grows with what waits: a burst of purges fills the queue, and this is asked for
-// each datagram.
+// Runs for each datagram. The ordered queue guards against a cost that grows with the number of queued facts,
+// as a burst of purges fills the queue.
 std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, Number to) {
-    std::vector<Fact> told;
+    std::vector<Fact> facts;
     std::vector<Key> taken;
-    while (taken.size() < max_count && !waiting.empty()) {
-        auto key = waiting.rbegin()->key;
-        auto& known = facts.at(key);
-        auto left = known.left;
-        set_left(key, known, 0);
-        if (!current(known, now)) continue;
+    while (taken.size() < max_count && !send_queue.empty()) {
+        auto key = send_queue.rbegin()->key;
+        auto& record = records.at(key);
+        auto sends_left = record.sends_left;
+        set_sends_left(key, record, 0);
+        if (!is_current(record, now)) continue;
         taken.push_back(key);
-        // Guards against tellings used up on who knows it, and may be cut off. In a tier of two there is
-        // nobody else, so it is passed over a bounded number of times.
-        bool knows_it = to != no_router && known.teller == to && known.passed_over < told_at_once;
-        if (knows_it)
-            known.passed_over++;
+        // Guards against using up the sends on the router that sent the fact, which may be cut off. In a tier
+        // of two there is no other router, so it is withheld a bounded number of times.
+        bool withheld = to != no_router && record.first_sender == to && record.times_withheld < urgent_sends;
+        if (withheld)
+            record.times_withheld++;
         else
-            told.push_back(known.fact);
-        known.left = knows_it ? left : left - 1;  // in the queue again below, lest it is told twice at once
+            facts.push_back(record.fact);
+        // Queued again only below, so that one datagram does not hold the fact twice.
+        record.sends_left = withheld ? sends_left : sends_left - 1;
     }
     for (auto& key : taken) {
-        auto& known = facts.at(key);
-        set_left(key, known, std::exchange(known.left, 0));
+        auto& record = records.at(key);
+        set_sends_left(key, record, std::exchange(record.sends_left, 0));
     }
-    return told;
+    return facts;
 }
 
 void ReplicatedFacts::restore_unsent(const Fact& fact) {
-    auto found = facts.find({fact.subject, fact.key});
-    if (found == facts.end() || found->second.left >= times) return;
-    set_left(found->first, found->second, found->second.left + 1);
+    auto found = records.find({fact.subject, fact.key});
+    if (found == records.end() || found->second.sends_left >= sends_per_fact) return;
+    set_sends_left(found->first, found->second, found->second.sends_left + 1);
 }
 
 std::uint32_t ReplicatedFacts::digest(Micros now) const {
     std::uint32_t sum = 0;
-    for (auto& [key, known] : facts) {
-        auto& fact = known.fact;
-        if (!current(known, now) || in_ms(now) < fact.first_heard + in_ms(settled)) continue;
+    for (auto& [key, record] : records) {
+        auto& fact = record.fact;
+        if (!is_current(record, now) || to_ms(now) < fact.first_heard + to_ms(digest_delay)) continue;
         const std::array<std::uint64_t, 3> words = {
             fact.key, fact.time, static_cast<std::uint64_t>(fact.subject) * 2 + (fact.gone ? 1 : 0)};
         sum += XXH32(words.data(), sizeof words, 0);
@@ -281,20 +287,20 @@
 }
 
 std::vector<Fact> ReplicatedFacts::next_in_rotation(std::size_t max_count, Micros now) {
-    std::vector<Fact> told;
-    auto at = facts.upper_bound(turn);
-    for (std::size_t i = 0; i < facts.size() && told.size() < max_count; i++) {
-        if (at == facts.end()) at = facts.begin();
-        if (current(at->second, now)) told.push_back(at->second.fact);
-        turn = at->first;
+    std::vector<Fact> facts;
+    auto at = records.upper_bound(rotation_cursor);
+    for (std::size_t i = 0; i < records.size() && facts.size() < max_count; i++) {
+        if (at == records.end()) at = records.begin();
+        if (is_current(at->second, now)) facts.push_back(at->second.fact);
+        rotation_cursor = at->first;
         at++;
     }
-    return told;
+    return facts;
 }
 
-const Fact* ReplicatedFacts::find(FactSubject about, std::uint64_t key) const {
-    auto found = facts.find({about, key});
-    return found == facts.end() ? nullptr : &found->second.fact;
+const Fact* ReplicatedFacts::find(FactSubject subject, std::uint64_t key) const {
+    auto found = records.find({subject, key});
+    return found == records.end() ? nullptr : &found->second.fact;
 }
 
 }  // namespace quillgrade::shared
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -8,82 +8,85 @@
 
 namespace {
 
-constexpr int enough_measured = 3;
-constexpr double least_weight = 0.25;
+constexpr int min_servers_measured = 3;
+constexpr double min_zone_weight = 0.25;
 
 }  // namespace
 
-void HealthReports::receive(Number witness, int zone, double trust, const Breadth& breadth,
+void HealthReports::receive(Number reporter, int zone, double trust, const Breadth& breadth,
                             const Complaint& complaint, Micros now) {
     if (complaint.age >= report_lifetime || !(complaint.samples > 0)) return;
-    auto of = held.find(complaint.server);
-    bool known = of != held.end() && of->second.contains(witness);
-    if (!known && count >= max_reports) {
-        seen_refused++;
+    auto by_reporter = reports.find(complaint.server);
+    bool known = by_reporter != reports.end() && by_reporter->second.contains(reporter);
+    if (!known && report_count >= max_reports) {
+        refused_count++;
         return;
     }
-    if (!known) count++;
-    bool doubted = breadth.measured >= enough_measured && breadth.complains * 2 > breadth.measured;
-    held[complaint.server].insert_or_assign(witness,
-                                            Held{complaint, now - complaint.age, zone, trust, doubted});
+    if (!known) report_count++;
+    bool doubted = breadth.measured >= min_servers_measured && breadth.complains * 2 > breadth.measured;
+    reports[complaint.server].insert_or_assign(
+        reporter, StoredReport{complaint, now - complaint.age, zone, trust, doubted});
 }
 
 Hearsay HealthReports::aggregate(CacheId server, std::uint64_t start, Micros now) const {
-    auto of = held.find(server);
-    if (of == held.end()) return {};
-    std::vector<const Held*> believed, doubted;
-    for (auto& [witness, one] : of->second) {
-        if (now - one.at >= report_lifetime) continue;
-        if (one.what.start != static_cast<std::uint32_t>(start)) continue;
-        (one.doubted ? doubted : believed).push_back(&one);
+    auto by_reporter = reports.find(server);
+    if (by_reporter == reports.end()) return {};
+    std::vector<const StoredReport*> trusted, doubted;
+    for (auto& [reporter, report] : by_reporter->second) {
+        if (now - report.sampled_at >= report_lifetime) continue;
+        if (report.complaint.start != static_cast<std::uint32_t>(start)) continue;
+        (report.doubted ? doubted : trusted).push_back(&report);
     }
-    // Those in doubt themselves are heard beside others that are not.
-    if (believed.size() >= 2) believed.insert(believed.end(), doubted.begin(), doubted.end());
-    if (believed.size() < 2) return {};
-    // The weightiest of a zone first.
-    std::sort(believed.begin(), believed.end(), [](auto* a, auto* b) { return a->at > b->at; });
-    std::map<int, double> next;
-    Hearsay sum;
-    std::vector<std::pair<double, double>> slow;  // with its weight
-    double slow_weight = 0;
-    for (auto* one : believed) {
-        auto [zone, fresh] = next.try_emplace(one->zone, 1.0);
-        auto weight = zone->second * one->trust *
-                      std::exp2(-static_cast<double>(now - one->at) / static_cast<double>(half_life));
-        zone->second = std::max(least_weight, zone->second / 2);
-        auto samples = std::min(one->what.samples, max_samples) * weight;
-        sum.samples += samples;
-        sum.bad += samples * std::clamp(one->what.failure_share, 0.0, 1.0);
-        if (one->what.slowdown > 0) slow.emplace_back(one->what.slowdown, samples);
-        slow_weight += one->what.slowdown > 0 ? samples : 0;
+    // Doubted complaints count only beside at least two trusted ones.
+    if (trusted.size() >= 2) trusted.insert(trusted.end(), doubted.begin(), doubted.end());
+    if (trusted.size() < 2) return {};
+    // The newest first, as the first complaint of a zone weighs most.
+    std::sort(trusted.begin(), trusted.end(), [](auto* a, auto* b) { return a->sampled_at > b->sampled_at; });
+    std::map<int, double> zone_weights;
+    Hearsay combined;
+    std::vector<std::pair<double, double>> slowdowns;  // each with its weight
+    double slowdown_weight = 0;
+    for (auto* report : trusted) {
+        auto [zone, inserted] = zone_weights.try_emplace(report->zone, 1.0);
+        auto weight =
+            zone->second * report->trust *
+            std::exp2(-static_cast<double>(now - report->sampled_at) / static_cast<double>(half_life));
+        zone->second = std::max(min_zone_weight, zone->second / 2);
+        auto samples = std::min(report->complaint.samples, max_samples) * weight;
+        combined.samples += samples;
+        combined.bad += samples * std::clamp(report->complaint.failure_share, 0.0, 1.0);
+        if (report->complaint.slowdown > 0) slowdowns.emplace_back(report->complaint.slowdown, samples);
+        slowdown_weight += report->complaint.slowdown > 0 ? samples : 0;
     }
-    if (sum.samples > 0) sum.bad /= sum.samples;
-    // The weighted median: one witness can't make it whatever it likes.
-    std::sort(slow.begin(), slow.end());
-    double passed = 0;
-    for (auto& [value, weight] : slow) {
-        passed += weight;
-        if (passed * 2 >= slow_weight) {
-            sum.slow = value;
+    if (combined.samples > 0) combined.bad /= combined.samples;
+    // The weighted median, so that a single reporter can't set it to any value.
+    std::sort(slowdowns.begin(), slowdowns.end());
+    double cumulative = 0;
+    for (auto& [value, weight] : slowdowns) {
+        cumulative += weight;
+        if (cumulative * 2 >= slowdown_weight) {
+            combined.slow = value;
             break;
         }
     }
-    return sum;
+    return combined;
 }
 
 std::vector<CacheId> HealthReports::reported_servers() const {
-    std::vector<CacheId> all;
-    for (auto& [server, by] : held) all.push_back(server);
-    return all;
+    std::vector<CacheId> ids;
+    for (auto& [server, by_reporter] : reports) ids.push_back(server);
+    return ids;
 }
 
 void HealthReports::expire(Micros now) {
-    for (auto of = held.begin(); of != held.end();) {
-        count -= std::erase_if(of->second, [&](auto& one) { return now - one.second.at >= report_lifetime; });
-        of = of->second.empty() ? held.erase(of) : std::next(of);
+    for (auto by_reporter = reports.begin(); by_reporter != reports.end();) {
+        report_count -= std::erase_if(by_reporter->second, [&](auto& report) {
+            return now - report.second.sampled_at >= report_lifetime;
+        });
+        by_reporter = by_reporter->second.empty() ? reports.erase(by_reporter) : std::next(by_reporter);
     }
 }
 
-std::size_t HealthReports::size() const { return count; }
+std::size_t HealthReports::size() const { return report_count; }
 
 }  // namespace quillgrade::shared
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -1,20 +1,26 @@
-// What other routers say of servers, weighed into one hearsay for each: for servers that this router has
-// hardly measured itself. Only complaints are told, each with its evidence; praise is not, so nothing here
-// lifts one.
+// Aggregates the complaints of other routers about a server, for servers of which this router has hardly any
+// samples of its own. Only complaints are shared, each with its evidence, and no praise: what other routers
+// report can lower the standing of a server, and never raises it.
 //
-// A witness tells, for each server that stands out beside its peers, how many samples it has (they count as
-// `max_samples` at most), the share of failures, and how many times as slow as the peers the server is. They
-// weigh
-//   - by age: half after `half_life`, nothing after `life`;
-//   - by the witness's own trust: a quarter where it is accused, ill, or leaving;
-//   - by its neighbours: the first witness of a zone counts whole, each further one half as much as the one
-//   before,
-//     down to a quarter, since what cuts off one cuts off its neighbours;
-//   - nothing, where the witness complains of more than half of three servers or more that it measured, and
-//   fewer
-//     than two others complain of that server: then its own link is the likelier cause;
-//   - nothing, where the server was started again since (by its start in the list);
-//   - nothing, as long as there is only one witness.
+//     HealthReports reports;
+//     reports.receive(reporter, zone, trust, breadth, complaint, now);
+//     server.hearsay = reports.aggregate(id, start, now);
+//     reports.expire(now);    // at intervals
+//
+// For each server that is worse than its peers, a router reports how many samples it has (`max_samples` count
+// at most), the share of failures, and how many times slower than its peers the server is. A complaint is
+// weighted
+//   - by age: half after `half_life`, nothing after `report_lifetime`;
+//   - by the trust in the reporter: a quarter where the reporter is suspected, degraded, or leaving;
+//   - by zone: the newest complaint from a zone counts in full and each further one half as much as the one
+//     before, down to a quarter, since routers of one zone share the causes of a failed link;
+//   - not at all where the reporter complains of more than half of its servers, having measured at least
+//     three, and fewer than two other routers complain of this server: its own link is the likelier cause;
+//   - not at all where the server has been restarted since, by its start in the list;
+//   - not at all while it is the only complaint.
+//
+// At most `max_reports` complaints are held; more are refused and counted. `now` and all durations are
+// microseconds of Unix time. Not thread-safe. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -31,13 +37,16 @@
 
 struct Complaint {
     CacheId server = 0;
-    std::uint32_t start = 0;  // the lower half of the server's start in Unix milliseconds
-    double samples = 0, failure_share = 0, slowdown = 0;
-    Micros age =
-        0;  // since the witness last looked at its samples, when it was told; they are 5 s old at most
+    std::uint32_t start = 0;  // the lower 32 bits of the server's start in Unix milliseconds
+    double samples = 0,       // how many the reporter has
+        failure_share = 0,    // of the samples, 0 to 1
+        slowdown = 0;         // how many times slower than its peers, 0: not slow
+    // Since the reporter last looked at its samples, when the complaint was sent. Samples are 5 s old at
+    // most.
+    Micros age = 0;
     bool operator==(const Complaint&) const = default;
 };
-// How many servers the witness has measured lately, and how many of these it complains of.
+// How many servers the reporter has measured lately, and of how many of these it complains.
 struct Breadth {
     int measured = 0, complains = 0;
 };
@@ -45,30 +54,31 @@
 class HealthReports {
 public:
     static constexpr Micros report_lifetime = 5'000'000, half_life = 2'500'000;
-    static constexpr double max_samples = 4;
-    static constexpr std::size_t max_reports = 1024;  // complaints kept
+    static constexpr double max_samples = 4;  // per complaint
+    static constexpr std::size_t max_reports = 1024;
 
-    void receive(Number witness, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
+    // Replaces the reporter's complaint about the same server. `trust`: the weight of the reporter, 0 to 1.
+    void receive(Number reporter, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
                  Micros now);
-    // `start`: in the list that this router has.
+    // The combined report on the server's process with this start; no samples where it is not conclusive.
     Hearsay aggregate(CacheId server, std::uint64_t start, Micros now) const;
-    // Servers of which anything is held.
+    // The servers with any complaint.
     std::vector<CacheId> reported_servers() const;
     void expire(Micros now);
     std::size_t size() const;
-    std::uint64_t refused() const { return seen_refused; }
+    std::uint64_t refused() const { return refused_count; }
 
 private:
-    struct Held {
-        Complaint what;
-        Micros at;  // of the newest sample, by this router's clock
+    struct StoredReport {
+        Complaint complaint;
+        Micros sampled_at;  // by this router's clock
         int zone;
         double trust;
-        bool doubted;
+        bool doubted;  // the reporter complains of most of its servers
     };
-    std::map<CacheId, std::map<Number, Held>> held;
-    std::size_t count = 0;
-    std::uint64_t seen_refused = 0;
+    std::map<CacheId, std::map<Number, StoredReport>> reports;
+    std::size_t report_count = 0;
+    std::uint64_t refused_count = 0;
 };
 
 }  // namespace quillgrade::shared
--- a/src/shared/quotas.cpp
+++ b/src/shared/quotas.cpp
@@ -11,88 +11,89 @@
 
 namespace {
 
-constexpr std::size_t most_pots = 16;
-// Of what was missed: where lookups come by chance, what is held is used up only if more is looked for than
-// that, and where there is enough the rest is asked for next time.
-constexpr double share_asked_for = 0.4;
-constexpr double most_of_part = 0.5;  // what one lease may take of an owner's part, if more than one lookup
+constexpr std::size_t max_allowances = 16;
+// The share of the unmet demand that is asked for. Lookups arrive at random, so a lease for all of the demand
+// would often not be used up. Where the budget is large enough, the rest is asked for next time.
+constexpr double demand_share_asked = 0.4;
+constexpr double max_share_per_lease = 0.5;  // of a grantor's share, or one lookup if that is more
 
 }  // namespace
 
-Quotas::Quotas(const QuotaOptions& terms) : terms(terms), number(terms.seed * 2654435761U) {}
+Quotas::Quotas(const QuotaOptions& options) : options(options), last_ask_number(options.seed * 2654435761U) {}
 
-// Drawn by hash, so that servers of one kind that start together have different ones; where there are as many
-// owners as routers each always has its own part.
+// Drawn by hash, so that servers of one kind that start together have different grantors. With as many
+// grantors as routers, every router always has its own share.
 std::vector<Number> Quotas::grantors_of(CacheId server, std::uint64_t start) const {
-    auto count = std::min(terms.grantors, terms.routers);
+    auto count = std::min(options.grantors, options.routers);
     std::vector<Number> drawn;
     for (int i = 0; i < count; i++) {
         const std::array<std::uint64_t, 3> words = {server, start, static_cast<std::uint64_t>(i)};
-        auto one = static_cast<Number>(XXH64(words.data(), sizeof words, 0) %
-                                       static_cast<std::uint64_t>(terms.routers));
-        while (std::find(drawn.begin(), drawn.end(), one) != drawn.end()) one = (one + 1) % terms.routers;
-        drawn.push_back(one);
+        auto candidate = static_cast<Number>(XXH64(words.data(), sizeof words, 0) %
+                                             static_cast<std::uint64_t>(options.routers));
+        while (std::find(drawn.begin(), drawn.end(), candidate) != drawn.end())
+            candidate = (candidate + 1) % options.routers;
+        drawn.push_back(candidate);
     }
     return drawn;
 }
 
 void Quotas::set_cold_servers(const std::vector<ColdServer>& cold, Micros now) {
-    for (auto& told : cold) {
-        auto found = servers.find(told.id);
+    for (auto& cold_server : cold) {
+        auto found = servers.find(cold_server.id);
         if (found == servers.end() && servers.size() >= max_servers) continue;
-        auto& server = servers[told.id];
-        if (server.start != told.start || server.owners.empty()) {
+        auto& server = servers[cold_server.id];
+        if (server.start != cold_server.start || server.grantors.empty()) {
             server = {};
-            server.start = told.start;
-            server.owners = grantors_of(told.id, told.start);
-            if (std::count(server.owners.begin(), server.owners.end(), terms.self)) {
-                server.parts = 1;
-                server.pots.push_back({terms.self});
+            server.start = cold_server.start;
+            server.grantors = grantors_of(cold_server.id, cold_server.start);
+            if (std::count(server.grantors.begin(), server.grantors.end(), options.self)) {
+                server.own_shares = 1;
+                server.allowances.push_back({options.self});
             }
         }
-        // A part that fell would leave leases over it: it only grows.
-        server.whole = std::max(server.whole, told.budget);
-        server.listed = now;
+        // The budget only grows: a smaller share could be less than what is already lent of it.
+        server.budget = std::max(server.budget, cold_server.budget);
+        server.last_listed = now;
     }
-    std::erase_if(servers, [&](auto& known) { return now - known.second.listed >= restart_wait(); });
+    std::erase_if(servers, [&](auto& known) { return now - known.second.last_listed >= restart_wait(); });
 }
 
-// ---- what may be used
+// ---- available quota
 
-double Quotas::part(const Server& server) {
-    return server.parts * server.whole / static_cast<double>(server.owners.size());
+double Quotas::own_share(const Server& server) {
+    return server.own_shares * server.budget / static_cast<double>(server.grantors.size());
 }
 
-double Quotas::used(Pot& pot, Micros now) const {
-    std::erase_if(pot.uses, [&](auto& use) { return now - use.at >= use_lifetime(); });
+double Quotas::used_work(Allowance& allowance, Micros now) const {
+    std::erase_if(allowance.uses, [&](auto& use) { return now - use.at >= use_lifetime(); });
     double sum = 0;
-    for (auto& use : pot.uses) sum += use.work;
+    for (auto& use : allowance.uses) sum += use.work;
     return sum;
 }
 
-double Quotas::blocked(Server& server, Micros now) {
-    std::erase_if(server.lent, [&](auto& lent) { return now >= lent.until; });
+double Quotas::blocked_work(Server& server, Micros now) {
+    std::erase_if(server.granted_leases, [&](auto& lease) { return now >= lease.blocked_until; });
     double sum = 0;
-    for (auto& lent : server.lent) sum += lent.amount;
+    for (auto& lease : server.granted_leases) sum += lease.amount;
     return sum;
 }
 
-double Quotas::left(Server& server, Pot& pot, Micros now) const {
-    if (pot.owner != terms.self) {
-        if (now + margin >= pot.until) return 0;
-        return pot.amount - used(pot, now);
+double Quotas::remaining(Server& server, Allowance& allowance, Micros now) const {
+    if (allowance.grantor != options.self) {
+        if (now + clock_margin >= allowance.expires) return 0;
+        return allowance.amount - used_work(allowance, now);
     }
-    if (now < terms.now + restart_wait()) return 0;
-    return part(server) - used(pot, now) - blocked(server, now);
+    if (now < options.now + restart_wait()) return 0;
+    return own_share(server) - used_work(allowance, now) - blocked_work(server, now);
 }
 
 double Quotas::available(CacheId id, Micros now) {
     auto found = servers.find(id);
     if (found == servers.end()) return 0;
     auto& server = found->second;
-    // Pots are not added up: one lookup comes out of one.
+    // The sum of all allowances, as consume() may take one lookup from several.
     double sum = 0;
-    for (auto& pot : server.pots) sum += std::max(0.0, left(server, pot, now));
+    for (auto& allowance : server.allowances) sum += std::max(0.0, remaining(server, allowance, now));
     return sum;
 }
 
@@ -101,29 +102,30 @@
     if (found == servers.end() || work <= 0) return now + use_validity;
     auto& server = found->second;
     Micros until = now + use_validity;
-    // Loans first: they end, the own part stays.
-    for (auto pot = server.pots.rbegin(); pot != server.pots.rend() && work > 0; pot++) {
-        auto from_it = std::min(work, std::max(0.0, left(server, *pot, now)));
-        if (from_it <= 0) continue;
-        pot->uses.push_back({now, tag, from_it});
-        work -= from_it;
-        if (pot->owner != terms.self) until = std::min(until, pot->until - margin);
+    // Leases first, as they expire while the own share stays.
+    for (auto allowance = server.allowances.rbegin(); allowance != server.allowances.rend() && work > 0;
+         allowance++) {
+        auto taken = std::min(work, std::max(0.0, remaining(server, *allowance, now)));
+        if (taken <= 0) continue;
+        allowance->uses.push_back({now, tag, taken});
+        work -= taken;
+        if (allowance->grantor != options.self) until = std::min(until, allowance->expires - clock_margin);
     }
-    seen.uses++;
-    // What was sent without a right is still counted where it can be.
-    if (work > 0 && !server.pots.empty()) server.pots.front().uses.push_back({now, tag, work});
+    totals.uses++;
+    // Work that was sent without a quota still counts against the first allowance.
+    if (work > 0 && !server.allowances.empty()) server.allowances.front().uses.push_back({now, tag, work});
     return until;
 }
 
 void Quotas::refund(CacheId id, double work, Micros tag, Micros /*now*/) {
     auto found = servers.find(id);
     if (found == servers.end()) return;
-    for (auto& pot : found->second.pots)
-        for (auto& use : pot.uses) {
+    for (auto& allowance : found->second.allowances)
+        for (auto& use : allowance.uses) {
             if (use.tag != tag) continue;
-            auto back = std::min(work, use.work);
-            use.work -= back;
-            work -= back;
+            auto refunded = std::min(work, use.work);
+            use.work -= refunded;
+            work -= refunded;
         }
 }
 
@@ -132,18 +134,20 @@
     auto found = servers.find(id);
     if (found == servers.end()) return usage;
     auto& server = found->second;
-    usage.part = part(server);
-    for (auto& pot : server.pots)
-        if (pot.owner == terms.self) {
-            usage.used += used(pot, now);
-        } else if (now + margin < pot.until) {
-            usage.borrowed += pot.amount;
-            usage.borrowed_used += used(pot, now);
+    usage.own_share = own_share(server);
+    for (auto& allowance : server.allowances)
+        if (allowance.grantor == options.self) {
+            usage.used += used_work(allowance, now);
+        } else if (now + clock_margin < allowance.expires) {
+            usage.borrowed += allowance.amount;
+            usage.borrowed_used += used_work(allowance, now);
         }
-    for (auto& lent : server.lent) {
-        usage.borrowers.push_back(lent.to);
-        if (now < lent.until)
-            (now < lent.until - use_lifetime() - margin ? usage.lent : usage.ending) += lent.amount;
+    for (auto& lease : server.granted_leases) {
+        usage.borrowers.push_back(lease.borrower);
+        if (now < lease.blocked_until)
+            (now < lease.blocked_until - use_lifetime() - clock_margin ? usage.lent
+                                                                       : usage.blocked_after_end) +=
+                lease.amount;
     }
     return usage;
 }
@@ -152,110 +156,116 @@
                          const std::function<std::int64_t(std::uint32_t)>& renumber) const {
     auto length = [&](Micros time) { into.push_back(time - now); };
     auto amount = [&](double value) { into.push_back(static_cast<std::int64_t>(value)); };
-    // What is over and only not erased yet decides nothing.
-    into.push_back(std::max<Micros>(0, terms.now + restart_wait() - now));
+    // Entries that have expired but are not erased yet do not affect behaviour.
+    into.push_back(std::max<Micros>(0, options.now + restart_wait() - now));
     for (auto& [id, server] : servers) {
         into.push_back(static_cast<std::int64_t>(id));
-        amount(server.whole);
-        for (auto& pot : server.pots) {
-            bool own = pot.owner == terms.self, runs = own || now < pot.until;
-            if (!runs && now >= pot.until + use_lifetime()) continue;
-            into.insert(into.end(), {-1, pot.owner, own ? 0 : renumber(pot.lease)});
-            amount(pot.amount);
-            if (!own) length(pot.until);
-            for (auto& use : pot.uses)
+        amount(server.budget);
+        for (auto& allowance : server.allowances) {
+            bool own = allowance.grantor == options.self, usable = own || now < allowance.expires;
+            if (!usable && now >= allowance.expires + use_lifetime()) continue;
+            into.insert(into.end(), {-1, allowance.grantor, own ? 0 : renumber(allowance.lease_number)});
+            amount(allowance.amount);
+            if (!own) length(allowance.expires);
+            for (auto& use : allowance.uses)
                 if (now - use.at < use_lifetime() && use.work > 0) {
                     length(use.at);
                     amount(use.work);
                 }
         }
-        for (auto& lent : server.lent)
-            if (now < lent.until) {
-                into.insert(into.end(),
-                            {-2, lent.to, static_cast<std::int64_t>(lent.life), renumber(lent.lease)});
-                amount(lent.amount);
-                length(lent.until);
+        for (auto& lease : server.granted_leases)
+            if (now < lease.blocked_until) {
+                into.insert(into.end(), {-2, lease.borrower, static_cast<std::int64_t>(lease.life),
+                                         renumber(lease.lease_number)});
+                amount(lease.amount);
+                length(lease.blocked_until);
             }
-        for (auto& one : server.waiting)
-            if (now < one.until) {
-                into.insert(into.end(),
-                            {-3, one.from, static_cast<std::int64_t>(one.life), renumber(one.ask.number),
-                             one.ask.renews ? renumber(one.ask.renews) : 0});
-                length(one.until);
+        for (auto& queued : server.queued_asks)
+            if (now < queued.expires) {
+                into.insert(into.end(), {-3, queued.from, static_cast<std::int64_t>(queued.life),
+                                         renumber(queued.ask.number),
+                                         queued.ask.renews ? renumber(queued.ask.renews) : 0});
+                length(queued.expires);
             }
-        double wished = 0;
-        Micros last = 0;
-        for (auto& wish : server.wishes)
-            if (now - wish.first < terms.window) {
-                wished += wish.second;
-                last = wish.first;
+        double demand = 0;
+        Micros last_miss = 0;
+        for (auto& miss : server.unmet_demand)
+            if (now - miss.first < options.window) {
+                demand += miss.second;
+                last_miss = miss.first;
             }
         into.push_back(-4);
-        amount(std::min(wished, 2 * server.usual));
-        into.push_back(wished > 0 ? last - now : 0);
-        bool open =
-            server.open.owner >= 0 && now < server.open.asked + std::max(terms.lease_duration, server.wait);
-        into.insert(into.end(), {open ? server.open.owner : -1, open ? renumber(server.open.number) : 0,
-                                 open ? server.open.asked - now : 0, server.wait,
-                                 server.owners.size() > 1 ? static_cast<std::int64_t>(server.turn) : 0});
+        amount(std::min(demand, 2 * server.lookup_work));
+        into.push_back(demand > 0 ? last_miss - now : 0);
+        bool is_outstanding =
+            server.outstanding.grantor >= 0 &&
+            now < server.outstanding.sent_at + std::max(options.lease_duration, server.answer_timeout);
+        into.insert(into.end(),
+                    {is_outstanding ? server.outstanding.grantor : -1,
+                     is_outstanding ? renumber(server.outstanding.number) : 0,
+                     is_outstanding ? server.outstanding.sent_at - now : 0, server.answer_timeout,
+                     server.grantors.size() > 1 ? static_cast<std::int64_t>(server.next_grantor) : 0});
     }
 }
 
-// ---- the borrower's side
+// ---- borrower
 
-void Quotas::record_unmet_demand(CacheId id, double work, double usual, Micros now) {
+void Quotas::record_unmet_demand(CacheId id, double work, double lookup_work, Micros now) {
     auto found = servers.find(id);
     if (found == servers.end() || work <= 0) return;
     auto& server = found->second;
-    server.usual = usual;
-    if (!server.wishes.empty() && now - server.wishes.back().first < terms.window / 20)
-        server.wishes.back().second += work;
+    server.lookup_work = lookup_work;
+    if (!server.unmet_demand.empty() && now - server.unmet_demand.back().first < options.window / 20)
+        server.unmet_demand.back().second += work;
     else
-        server.wishes.emplace_back(now, work);
+        server.unmet_demand.emplace_back(now, work);
 }
 
-double Quotas::wish(Server& server, Micros now) const {
-    std::erase_if(server.wishes, [&](auto& one) { return now - one.first >= terms.window; });
+double Quotas::recent_demand(Server& server, Micros now) const {
+    std::erase_if(server.unmet_demand, [&](auto& miss) { return now - miss.first >= options.window; });
     double sum = 0;
-    for (auto& one : server.wishes) sum += one.second;
+    for (auto& miss : server.unmet_demand) sum += miss.second;
     return sum;
 }
 
-// Whether to ask now, and whom: where lookups of the last window found no right. A lease that was used for
-// more than half is renewed in the last third of its time.
-void Quotas::plan(CacheId /*id*/, Server& server, Micros now) {
-    server.due = false;
-    server.renewing = -1;
-    std::erase_if(server.pots,
-                  [&](auto& pot) { return pot.owner != terms.self && now >= pot.until + use_lifetime(); });
-    auto wished = wish(server, now);
-    if (wished <= 0 || server.usual <= 0) return;
-    if (server.open.owner >= 0 && now < server.open.asked + server.wait) return;
-    for (auto& pot : server.pots)
-        if (pot.owner != terms.self && now < pot.until - margin &&
-            now >= pot.until - terms.lease_duration / 3 && used(pot, now) * 2 >= pot.amount) {
-            server.renewing = pot.owner;
-            server.due = true;
+// Decides whether to ask now, and whom. An ask is due where lookups of the last window found no quota. A
+// lease of which at least half is in use is renewed in the last third of its duration.
+void Quotas::plan_ask(CacheId /*id*/, Server& server, Micros now) {
+    server.ask_due = false;
+    server.renewal_grantor = -1;
+    std::erase_if(server.allowances, [&](auto& allowance) {
+        return allowance.grantor != options.self && now >= allowance.expires + use_lifetime();
+    });
+    auto demand = recent_demand(server, now);
+    if (demand <= 0 || server.lookup_work <= 0) return;
+    if (server.outstanding.grantor >= 0 && now < server.outstanding.sent_at + server.answer_timeout) return;
+    for (auto& allowance : server.allowances)
+        if (allowance.grantor != options.self && now < allowance.expires - clock_margin &&
+            now >= allowance.expires - options.lease_duration / 3 &&
+            used_work(allowance, now) * 2 >= allowance.amount) {
+            server.renewal_grantor = allowance.grantor;
+            server.ask_due = true;
             return;
         }
-    server.due = wished >= server.usual;
+    server.ask_due = demand >= server.lookup_work;
 }
 
-// A lease of that owner that runs goes on, for more if more is wanted.
-Ask Quotas::sent(CacheId id, Server& server, Number owner, Micros now) {
-    if (++number == 0) number = 1;
-    Ask ask{id, static_cast<std::uint32_t>(server.start), number, 0, server.usual, 0};
-    auto more = std::max(server.usual, wish(server, now) * share_asked_for);
-    ask.amount = more;
-    for (auto& pot : server.pots)
-        if (pot.owner == owner && now < pot.until - margin) {
-            ask.renews = pot.lease;
-            ask.amount = pot.amount + more;
+// Renews a running lease of that grantor, with the additional amount that is wanted, or asks for a new lease.
+Ask Quotas::make_ask(CacheId id, Server& server, Number grantor, Micros now) {
+    if (++last_ask_number == 0) last_ask_number = 1;
+    Ask ask{id, static_cast<std::uint32_t>(server.start), last_ask_number, 0, server.lookup_work, 0};
+    auto additional = std::max(server.lookup_work, recent_demand(server, now) * demand_share_asked);
+    ask.amount = additional;
+    for (auto& allowance : server.allowances)
+        if (allowance.grantor == grantor && now < allowance.expires - clock_margin) {
+            ask.renews = allowance.lease_number;
+            ask.amount = allowance.amount + additional;
         }
-    server.wait =
-        server.open.owner >= 0 && !ask.renews ? std::min(2 * server.wait, longest_wait) : answer_wait;
-    server.open = {ask.number, owner, now, ask.amount, ask.renews};
-    seen.asks_sent++;
+    server.answer_timeout = server.outstanding.grantor >= 0 && !ask.renews
+                                ? std::min(2 * server.answer_timeout, max_answer_timeout)
+                                : initial_answer_timeout;
+    server.outstanding = {ask.number, grantor, now, ask.amount, ask.renews};
+    totals.asks_sent++;
     return ask;
 }
 
@@ -263,99 +273,106 @@
     auto found = servers.find(grant.server);
     if (found == servers.end()) return;
     auto& server = found->second;
-    auto& open = server.open;
-    bool ours = open.owner == from && open.number == grant.number;
-    if (!ours) {
-        seen.messages_refused++;
+    auto& outstanding = server.outstanding;
+    bool expected = outstanding.grantor == from && outstanding.number == grant.number;
+    if (!expected) {
+        totals.messages_refused++;
         return;
     }
-    if (std::find(server.owners.begin(), server.owners.end(), from) == server.owners.end()) return;
+    if (std::find(server.grantors.begin(), server.grantors.end(), from) == server.grantors.end()) return;
     auto amount = grant.amount;
-    // Nobody is given more than it asked for, nor more than the owner has.
-    auto bound =
-        std::min(ours ? open.amount : 1e18, server.whole / static_cast<double>(server.owners.size()));
-    if (amount > bound * 1.001) {
-        seen.amounts_capped++;
-        amount = bound;
+    // Capped at what was asked for, and at the share of a grantor.
+    auto max_amount = std::min(expected ? outstanding.amount : 1e18,
+                               server.budget / static_cast<double>(server.grantors.size()));
+    if (amount > max_amount * 1.001) {
+        totals.amounts_capped++;
+        amount = max_amount;
     }
-    auto asked = ours ? open.asked : now;
-    open.owner = -1;
-    if (now + margin >= asked + terms.lease_duration) return;
-    seen.leases_received++;
-    auto lease = ours && open.renews ? open.renews : grant.number;
-    auto pot = std::find_if(server.pots.begin(), server.pots.end(),
-                            [&](auto& one) { return one.owner == from && one.lease == lease; });
-    if (pot == server.pots.end()) {
-        if (server.pots.size() >= most_pots) return;
-        server.pots.push_back({from, lease, amount, asked + terms.lease_duration});
+    auto sent_at = expected ? outstanding.sent_at : now;
+    outstanding.grantor = -1;
+    if (now + clock_margin >= sent_at + options.lease_duration) return;
+    totals.leases_received++;
+    auto lease_number = expected && outstanding.renews ? outstanding.renews : grant.number;
+    auto allowance = std::find_if(server.allowances.begin(), server.allowances.end(), [&](auto& held) {
+        return held.grantor == from && held.lease_number == lease_number;
+    });
+    if (allowance == server.allowances.end()) {
+        if (server.allowances.size() >= max_allowances) return;
+        server.allowances.push_back({from, lease_number, amount, sent_at + options.lease_duration});
         return;
     }
-    // Renewed: the owner blocks it on, and blocked what it was raised by before it said so. Without that
-    // guard what comes twice adds up.
-    pot->amount = std::max(pot->amount, amount);
-    pot->until = std::max(pot->until, asked + terms.lease_duration);
+    // Renewed: the grantor keeps the lease blocked, and blocked the additional amount before it answered.
+    // The maximum guards against a duplicated grant, which would add up.
+    allowance->amount = std::max(allowance->amount, amount);
+    allowance->expires = std::max(allowance->expires, sent_at + options.lease_duration);
 }
 
-// ---- the owner's side
+// ---- grantor
 
 void Quotas::handle_ask(Number from, Life life, const Ask& ask, Micros now) {
     auto found = servers.find(ask.server);
-    if (found == servers.end() || from == terms.self) return;
+    if (found == servers.end() || from == options.self) return;
     auto& server = found->second;
-    if (server.parts == 0 || static_cast<std::uint32_t>(server.start) != ask.start) return;
+    if (server.own_shares == 0 || static_cast<std::uint32_t>(server.start) != ask.start) return;
     if (!(ask.amount > 0) || !(ask.min_amount > 0)) return;
-    auto known = std::find_if(server.waiting.begin(), server.waiting.end(),
-                              [&](auto& one) { return one.from == from; });
-    if (known == server.waiting.end() && server.waiting.size() >= most_waiting) {
-        seen.messages_refused++;
+    auto known = std::find_if(server.queued_asks.begin(), server.queued_asks.end(),
+                              [&](auto& queued) { return queued.from == from; });
+    if (known == server.queued_asks.end() && server.queued_asks.size() >= max_queued_asks) {
+        totals.messages_refused++;
         return;
     }
-    if (known != server.waiting.end() && known->life == life && known->ask.number == ask.number) return;
-    if (known != server.waiting.end()) server.waiting.erase(known);
-    server.waiting.push_back({from, life, ask, now + kept_waiting});
+    if (known != server.queued_asks.end() && known->life == life && known->ask.number == ask.number) return;
+    if (known != server.queued_asks.end()) server.queued_asks.erase(known);
+    server.queued_asks.push_back({from, life, ask, now + ask_queue_time});
 }
 
-// Renewals first, as they want nothing that is free; then who has waited longest.
+// Renewals first, as they need no free amount; then in order of arrival.
 std::vector<Addressed<Grant>> Quotas::issue_grants(Micros now) {
-    std::vector<Addressed<Grant>> out;
-    if (now < terms.now + restart_wait()) return out;
+    std::vector<Addressed<Grant>> grants;
+    if (now < options.now + restart_wait()) return grants;
     for (auto& [id, server] : servers) {
-        std::erase_if(server.waiting, [&](auto& one) { return now >= one.until; });
+        std::erase_if(server.queued_asks, [&](auto& queued) { return now >= queued.expires; });
         for (bool renewals : {true, false})
-            for (auto one = server.waiting.begin(); one != server.waiting.end();) {
-                auto given = (one->ask.renews != 0) == renewals ? grant(server, *one, now) : std::nullopt;
-                if (given) out.push_back({one->from, *given});
-                one = given ? server.waiting.erase(one) : std::next(one);
+            for (auto queued = server.queued_asks.begin(); queued != server.queued_asks.end();) {
+                auto granted =
+                    (queued->ask.renews != 0) == renewals ? try_grant(server, *queued, now) : std::nullopt;
+                if (granted) grants.push_back({queued->from, *granted});
+                queued = granted ? server.queued_asks.erase(queued) : std::next(queued);
             }
     }
-    return out;
+    return grants;
 }
 
-std::optional<Grant> Quotas::grant(Server& server, const Waiting& to, Micros now) {
-    auto& ask = to.ask;
-    auto end = now + terms.lease_duration + use_lifetime() + margin;
-    auto free = std::max(0.0, left(server, server.pots.front(), now));  // forgets what is over
-    auto running = std::find_if(server.lent.begin(), server.lent.end(), [&](auto& one) {
-        return one.to == to.from && one.life == to.life && one.lease == ask.renews;
+std::optional<Grant> Quotas::try_grant(Server& server, const QueuedAsk& queued, Micros now) {
+    auto& ask = queued.ask;
+    auto end = now + options.lease_duration + use_lifetime() + clock_margin;
+    auto free = std::max(0.0, remaining(server, server.allowances.front(), now));  // erases expired leases
+    auto running = std::find_if(server.granted_leases.begin(), server.granted_leases.end(), [&](auto& lease) {
+        return lease.borrower == queued.from && lease.life == queued.life && lease.lease_number == ask.renews;
     });
-    // In whole lookups, so that nothing is blocked that nobody can use.
-    auto most = std::max(ask.min_amount, most_of_part * part(server));
-    auto whole = [&](double amount) { return std::floor(amount / ask.min_amount + 1e-6) * ask.min_amount; };
+    // In whole lookups, so that no amount is blocked that nobody can use.
+    auto max_amount = std::max(ask.min_amount, max_share_per_lease * own_share(server));
+    auto whole_lookups = [&](double amount) {
+        return std::floor(amount / ask.min_amount + 1e-6) * ask.min_amount;
+    };
     if (ask.renews) {
-        // One that is over is not renewed, but asked for anew.
-        if (running == server.lent.end() || now >= running->until - use_lifetime() - margin) return {};
-        running->amount += whole(std::clamp(std::min(ask.amount, most) - running->amount, 0.0, free));
-        running->until = end;
-        seen.leases_renewed++;
+        // An expired lease is not renewed; its borrower has to ask for a new one.
+        if (running == server.granted_leases.end() ||
+            now >= running->blocked_until - use_lifetime() - clock_margin)
+            return {};
+        running->amount +=
+            whole_lookups(std::clamp(std::min(ask.amount, max_amount) - running->amount, 0.0, free));
+        running->blocked_until = end;
+        totals.leases_renewed++;
         return Grant{ask.server, ask.number, running->amount};
     }
-    std::size_t all = 0;
-    for (auto& [id, one] : servers) all += one.lent.size();
-    if (all >= max_leases) return {};
-    auto amount = whole(std::min({ask.amount, most, free}));
+    std::size_t total_leases = 0;
+    for (auto& [id, other] : servers) total_leases += other.granted_leases.size();
+    if (total_leases >= max_leases) return {};
+    auto amount = whole_lookups(std::min({ask.amount, max_amount, free}));
     if (amount < ask.min_amount * 0.999) return {};
-    server.lent.push_back({to.from, to.life, ask.number, amount, end});
-    seen.leases_granted++;
+    server.granted_leases.push_back({queued.from, queued.life, ask.number, amount, end});
+    totals.leases_granted++;
     return Grant{ask.server, ask.number, amount};
 }
 
--- a/src/shared/request_counts.cpp
+++ b/src/shared/request_counts.cpp
@@ -14,95 +14,98 @@
 }
 
 RequestCounts::RequestCounts(Number self, int routers)
-    : mine(bit_of(self)), times(1 + static_cast<int>(std::ceil(std::log2(routers + 1.0)))) {}
+    : own_bit(bit_of(self)), sends_per_change(1 + static_cast<int>(std::ceil(std::log2(routers + 1.0)))) {}
 
-void RequestCounts::turn(Micros now) {
+void RequestCounts::advance_epoch(Micros now) {
     auto current = epoch_of(now);
-    if (current <= epoch) return;  // a clock that was set back waits here
-    bool next = current == epoch + 1;
+    if (current <= epoch) return;  // a clock that was set back stays in the epoch
+    bool is_next = current == epoch + 1;
     epoch = current;
-    for (auto& [name, one] : names) one = {0, next ? one.now : 0, 0};
-    std::erase_if(names, [](auto& one) { return one.second.before == 0; });
-    waiting.clear();
+    for (auto& [name, entry] : entries) entry = {0, is_next ? entry.current : 0, 0};
+    std::erase_if(entries, [](auto& entry) { return entry.second.previous == 0; });
+    send_queue.clear();
 }
 
-// Full: names that nobody else has been asked for make room, as they change no draw. Else it is not counted.
-RequestCounts::Name* RequestCounts::enter(std::uint64_t name) {
-    auto found = names.find(name);
-    if (found != names.end()) return &found->second;
-    if (names.size() >= max_names)
-        std::erase_if(names, [&](auto& one) { return ((one.second.now | one.second.before) & ~mine) == 0; });
-    if (names.size() >= max_names) {
-        seen_dropped++;
+// When full, evicts the names that only this router was asked for, as they change no decision. If that frees
+// nothing, the name is not counted.
+RequestCounts::Entry* RequestCounts::find_or_insert(std::uint64_t name) {
+    auto found = entries.find(name);
+    if (found != entries.end()) return &found->second;
+    if (entries.size() >= max_names)
+        std::erase_if(entries, [&](auto& entry) {
+            return ((entry.second.current | entry.second.previous) & ~own_bit) == 0;
+        });
+    if (entries.size() >= max_names) {
+        dropped_count++;
         return nullptr;
     }
-    return &names[name];
+    return &entries[name];
 }
 
-void RequestCounts::spread(std::uint64_t name, Name& one) {
-    if (std::popcount(one.now) > saturation_count) return;
-    if (one.left <= 0) waiting.push_back(name);
-    one.left = static_cast<std::int8_t>(times);
-    // What was not told for long is told by others.
-    while (waiting.size() > 2 * max_names) waiting.pop_front();
+void RequestCounts::enqueue(std::uint64_t name, Entry& entry) {
+    if (std::popcount(entry.current) > saturation_count) return;
+    if (entry.sends_left <= 0) send_queue.push_back(name);
+    entry.sends_left = static_cast<std::int8_t>(sends_per_change);
+    // A name that has waited this long is sent by other routers.
+    while (send_queue.size() > 2 * max_names) send_queue.pop_front();
 }
 
 int RequestCounts::count_request(std::uint64_t name, Micros now) {
-    turn(now);
-    auto* one = enter(name);
-    if (!one) return 0;
-    if (!(one->now & mine)) {
-        one->now |= mine;
-        spread(name, *one);
+    advance_epoch(now);
+    auto* entry = find_or_insert(name);
+    if (!entry) return 0;
+    if (!(entry->current & own_bit)) {
+        entry->current |= own_bit;
+        enqueue(name, *entry);
     }
     return other_routers_asked(name, now);
 }
 
 int RequestCounts::other_routers_asked(std::uint64_t name, Micros /*now*/) const {
-    auto found = names.find(name);
-    if (found == names.end()) return 0;
-    auto& one = found->second;
-    return std::max(std::popcount(one.now & ~mine), std::popcount(one.before & ~mine) / 2);
+    auto found = entries.find(name);
+    if (found == entries.end()) return 0;
+    auto& entry = found->second;
+    return std::max(std::popcount(entry.current & ~own_bit), std::popcount(entry.previous & ~own_bit) / 2);
 }
 
 bool RequestCounts::receive(const Count& count, Micros now) {
-    turn(now);
-    bool old = count.epoch + 1 == epoch;
-    if (count.epoch != epoch && !old) {
-        seen_dropped++;
+    advance_epoch(now);
+    bool is_previous = count.epoch + 1 == epoch;
+    if (count.epoch != epoch && !is_previous) {
+        dropped_count++;
         return false;
     }
-    auto* one = enter(count.name);
-    if (!one) return false;
-    auto& into = old ? one->before : one->now;
-    if ((into | count.askers) == into) return false;
-    into |= count.askers;
-    if (!old) spread(count.name, *one);
+    auto* entry = find_or_insert(count.name);
+    if (!entry) return false;
+    auto& askers = is_previous ? entry->previous : entry->current;
+    if ((askers | count.askers) == askers) return false;
+    askers |= count.askers;
+    if (!is_previous) enqueue(count.name, *entry);
     return true;
 }
 
 std::vector<Count> RequestCounts::next_to_send(std::size_t max_count, Micros now) {
-    turn(now);
-    std::vector<Count> told;
-    // The newest first: it is the likeliest to be asked for elsewhere next.
-    std::deque<std::uint64_t> again;
-    while (told.size() < max_count && !waiting.empty()) {
-        auto name = waiting.back();
-        waiting.pop_back();
-        auto found = names.find(name);
-        if (found == names.end() || found->second.left <= 0) continue;
-        told.push_back({name, epoch, found->second.now});
-        if (--found->second.left > 0) again.push_back(name);
+    advance_epoch(now);
+    std::vector<Count> counts;
+    // The newest first, as it is the likeliest to be requested elsewhere next.
+    std::deque<std::uint64_t> requeued;
+    while (counts.size() < max_count && !send_queue.empty()) {
+        auto name = send_queue.back();
+        send_queue.pop_back();
+        auto found = entries.find(name);
+        if (found == entries.end() || found->second.sends_left <= 0) continue;
+        counts.push_back({name, epoch, found->second.current});
+        if (--found->second.sends_left > 0) requeued.push_back(name);
     }
-    // Told again after the others.
-    for (auto name : again) waiting.push_front(name);
-    return told;
+    // Sent again after the others.
+    for (auto name : requeued) send_queue.push_front(name);
+    return counts;
 }
 
 void RequestCounts::restore_unsent(std::uint64_t name) {
-    auto found = names.find(name);
-    if (found == names.end()) return;
-    if (found->second.left++ <= 0) waiting.push_back(name);
+    auto found = entries.find(name);
+    if (found == entries.end()) return;
+    if (found->second.sends_left++ <= 0) send_queue.push_back(name);
 }
 
 }  // namespace quillgrade::shared
--- a/src/shared/request_counts.hpp
+++ b/src/shared/request_counts.hpp
@@ -1,15 +1,23 @@
-// Which objects other routers of the location have been asked for, for the shield's count.
+// Counts the other routers of the location that were asked for an object, for the admission decision of the
+// CacheShield algorithm.
 //
-// An epoch is half a minute of Unix time. In it each name has a set of the routers that were asked for it,
-// kept as 32 bits of which each router has one by hash: grow-only, joined by or, so it may be passed on by
-// anybody, late, doubled and in any order. The bits that are set, this router's aside, are at most as many as
-// the other routers that were asked, and so at most the lookups they had: the sum never falls under the
-// router's own count, and never rises over what the location saw. A draw hardly changes from four on, so more
-// need not be known. A linear count with few bits; the usual estimate of the true number (Whang,
-// Vander-Zanden, Taylor, 1990) is left out on purpose, as it may lie above.
+// An epoch is half a minute of Unix time. Within an epoch each name has a set of the routers that were asked
+// for it, stored as 32 bits of which each router owns one by hash. The set only grows and is joined by a
+// bitwise or, so any router may forward it, late, more than once and in any order. The bits that are set,
+// except the own one, are at most as many as the other routers that were asked, and so at most the lookups
+// they had. The sum with the router's own count therefore never falls below the own count, and never rises
+// above what the location saw. From four on, a higher count hardly changes the decision, so more precision is
+// not needed. This is a linear count with few bits. The usual estimate of the true number (Whang,
+// Vander-Zanden, Taylor, 1990) is not used, as it may be too high.
 //
-// A new life has its old bit; an epoch that is over counts half in the next, as the module halves its own
-// counts, and then nothing.
+//     RequestCounts counts(self, routers);
+//     int others = counts.count_request(name, now);
+//     for (auto& count : counts.next_to_send(12, now)) send(count);
+//
+// A restarted router keeps its bit. The sets of an epoch count half in the next epoch, as the routing module
+// halves its own counts, and then no more.
+//
+// `now` is Unix time in microseconds. At most `max_names` names are held. Not thread-safe. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -24,48 +32,53 @@
 
 using peers::Number;
 
+// The routers that were asked for a name in an epoch.
 struct Count {
     std::uint64_t name = 0;
     std::uint32_t epoch = 0;
-    std::uint32_t askers = 0;
+    std::uint32_t askers = 0;  // a set of bits, see RequestCounts::bit_of
     bool operator==(const Count&) const = default;
 };
 
 class RequestCounts {
 public:
     static constexpr Micros epoch_duration = 30'000'000;
-    static constexpr std::size_t max_names = 2048;  // names
-    static constexpr int saturation_count = 6;      // askers from which on a name is no more news
+    static constexpr std::size_t max_names = 2048;
+    static constexpr int saturation_count = 6;  // a set with more bits than this is not sent any more
 
     RequestCounts(Number self, int routers);
-    // This router is asked for it; answers how many others of the location were, as far as is known.
+    // Counts a request to this router. Returns how many other routers of the location are known to have been
+    // asked for the name.
     int count_request(std::uint64_t name, Micros now);
     int other_routers_asked(std::uint64_t name, Micros now) const;
-    bool receive(const Count& count, Micros now);                        // true where it is news
-    std::vector<Count> next_to_send(std::size_t max_count, Micros now);  // to tell; they count as told
-    void restore_unsent(std::uint64_t name);                             // there was no room for it after all
-    bool has_unsent() const { return !waiting.empty(); }
-    std::size_t size() const { return names.size(); }
-    std::uint64_t dropped() const { return seen_dropped; }
+    // Joins the set of another router. Returns true where that adds a bit.
+    bool receive(const Count& count, Micros now);
+    // The sets to send, which count as sent.
+    std::vector<Count> next_to_send(std::size_t max_count, Micros now);
+    // Takes back that a set was sent, as there was no room for it.
+    void restore_unsent(std::uint64_t name);
+    bool has_unsent() const { return !send_queue.empty(); }
+    std::size_t size() const { return entries.size(); }
+    std::uint64_t dropped() const { return dropped_count; }
 
     static std::uint32_t bit_of(Number router);
     static std::uint32_t epoch_of(Micros now) { return static_cast<std::uint32_t>(now / epoch_duration); }
 
 private:
-    struct Name {
-        std::uint32_t now = 0, before = 0;
-        std::int8_t left = 0;  // times to tell
+    struct Entry {
+        std::uint32_t current = 0, previous = 0;  // sets of this epoch and of the one before
+        std::int8_t sends_left = 0;
     };
-    void turn(Micros now);
-    Name* enter(std::uint64_t name);
-    void spread(std::uint64_t name, Name& one);
+    void advance_epoch(Micros now);
+    Entry* find_or_insert(std::uint64_t name);
+    void enqueue(std::uint64_t name, Entry& entry);
 
-    std::uint32_t mine;
-    int times;
+    std::uint32_t own_bit;
+    int sends_per_change;
     std::uint32_t epoch = 0;
-    std::unordered_map<std::uint64_t, Name> names;
-    std::deque<std::uint64_t> waiting;
-    std::uint64_t seen_dropped = 0;
+    std::unordered_map<std::uint64_t, Entry> entries;
+    std::deque<std::uint64_t> send_queue;  // the last one is sent next
+    std::uint64_t dropped_count = 0;
 };
 
 }  // namespace quillgrade::shared
