--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -96,7 +96,7 @@
 template <class Message>
 struct Addressed {
     Number to;
-    Message message;
+    Message body;
 };
 
 class Quotas {
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -1,9 +1,9 @@
-// How what one router alone was told reaches the others while all are short of bytes. The script
-// tests/fleet/shared/facts_one_way.json failed now and then: a drain that only router 0 had heard of was not
-// known to one of the five others after 4 s. Three causes acted together: counts took the bytes that were
-// being saved up to tell a router that was behind; the bounded tellings were used up on router 0, which had
-// told the fact itself and heard nobody; and a router that knew of no fact did not say so, although it saw
-// that others held some.
+// Tests of how facts that only one router received reach the others while bytes are short. They guard against
+// three causes that together made tests/fleet/shared/facts_one_way.json fail sporadically, where one of five
+// routers did not know after 4 s of a drain that only router 0 had heard: request counts used the bytes saved
+// up for a router that was behind; the bounded number of sends was used up on router 0, which had sent the
+// fact itself and heard nobody; and a router without facts did not report its digest, although it saw that
+// others held some.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -31,12 +31,12 @@
     return made;
 }
 
-// A small tier in simulated time, each router of which asks for objects of a few thousand.
+// A small tier in simulated time. Each router is asked for objects out of 2,000.
 class Tier {
 public:
-    Tier(int routers, std::uint64_t seed, double asked_per_s, rig::LinkConditions conditions,
+    Tier(int routers, std::uint64_t seed, double requests_per_s, rig::LinkConditions conditions,
          Features parts = {})
-        : asked_per_s(asked_per_s), chance(static_cast<std::uint32_t>(seed)) {
+        : requests_per_s(requests_per_s), chance(static_cast<std::uint32_t>(seed)) {
         auto& terms = rig::partner_terms();
         terms.exchange = {};
         terms.exchange.features = parts;
@@ -46,58 +46,58 @@
         fleet->start_all();
         feed::Listing all{true, {}};
         for (CacheId id = 1; id <= servers; id++) all.caches.push_back(server(id));
-        for (Number who = 0; who < routers; who++) list(who, all);
+        for (Number router = 0; router < routers; router++) list(router, all);
     }
-    void list(Number who, const feed::Listing& listing) {
-        fleet->visit(who, [&](rig::Partner& one) {
-            one.exchange().apply_listing(listing, one.times(fleet->clock(who)));
+    void list(Number router, const feed::Listing& listing) {
+        fleet->visit(router, [&](rig::Partner& one) {
+            one.exchange().apply_listing(listing, one.times(fleet->clock(router)));
         });
     }
-    void drain(Number who, CacheId id, Micros started) {
-        list(who, {false, {server(id, Listed::Draining, started)}});
+    void drain(Number router, CacheId id, Micros started) {
+        list(router, {false, {server(id, Listed::Draining, started)}});
     }
-    void go(Micros time) {
+    void run(Micros time) {
         boost::random::uniform_01<double> unit;
         boost::random::uniform_int_distribution<ObjectId> object(1, 2000);
         for (auto until = fleet->now() + time; fleet->now() < until;) {
             fleet->run_until(fleet->now() + step);
-            for (Number who = 0; who < fleet->count(); who++)
-                fleet->visit(who, [&](rig::Partner& one) {
-                    auto times = one.times(fleet->clock(who));
-                    bool asks =
-                        unit(chance) * static_cast<double>(second) < asked_per_s * static_cast<double>(step);
-                    if (asks) one.exchange().count_request(object(chance), times);
+            for (Number router = 0; router < fleet->count(); router++)
+                fleet->visit(router, [&](rig::Partner& one) {
+                    auto times = one.times(fleet->clock(router));
+                    bool is_asked = unit(chance) * static_cast<double>(second) <
+                                    requests_per_s * static_cast<double>(step);
+                    if (is_asked) one.exchange().count_request(object(chance), times);
                     one.exchange().set_time(times);
                     one.share(times.unix);
                 });
         }
     }
-    void go_until_all_are_alive() {
-        for (int i = 0; i < 400 && !all_alive(); i++) go(100 * ms);
+    void run_until_all_are_alive() {
+        for (int i = 0; i < 400 && !all_alive(); i++) run(100 * ms);
         REQUIRE(all_alive());
     }
     bool all_alive() {
-        for (Number who = 0; who < fleet->count(); who++)
+        for (Number router = 0; router < fleet->count(); router++)
             for (Number other = 0; other < fleet->count(); other++)
-                if (fleet->protocol(who)->membership().state(other) != peers::State::Alive) return false;
+                if (fleet->protocol(router)->membership().state(other) != peers::State::Alive) return false;
         return true;
     }
-    // Router `who` is shown a payload of `from` that tells of other facts than its own.
-    void show_other_digest(Number from, Number who) {
+    // Delivers to router `who` a payload of `from` with a digest that differs from its own.
+    void deliver_differing_digest(Number from, Number router) {
         Payload other;
         other.digest = 0x5eed;
-        fleet->visit(who, [&](rig::Partner& one) {
-            auto now = fleet->clock(who);
+        fleet->visit(router, [&](rig::Partner& one) {
+            auto now = fleet->clock(router);
             one.exchange().set_time(one.times(now));
             one.exchange().unload(from, 1, encode(other, 100, now).bytes, now);
             one.share(now);
         });
     }
 
-    // Router `who` sends to another until an own datagram for the sharing has to wait.
-    void use_up_bytes(Number who, Number to) {
-        fleet->visit(who, [&](rig::Partner& one) {
-            while (one.membership().tell(to, true, fleet->clock(who))) {
+    // Lets router `who` send until its next datagram of shared state has to wait for bytes.
+    void use_up_bytes(Number router, Number to) {
+        fleet->visit(router, [&](rig::Partner& one) {
+            while (one.membership().tell(to, true, fleet->clock(router))) {
             }
         });
     }
@@ -105,7 +105,7 @@
     std::unique_ptr<rig::SharedFleet> fleet;
 
 private:
-    double asked_per_s;
+    double requests_per_s;
     boost::random::mt19937 chance;
 };
 
@@ -120,108 +120,108 @@
     return Sent{*datagram.message, payload.value_or(Payload{})};
 }
 
-// As in the script. How many of the others don't know of the drain in time.
-int behind_after(std::uint64_t seed, Micros time) {
+// The scene of facts_one_way.json. Returns how many of the other routers do not know of the drain in time.
+int routers_without_drain_after(std::uint64_t seed, Micros time) {
     Tier tier(6, seed, 20, {0.05, 3 * ms, 24 * ms, 0, 0});
-    tier.go_until_all_are_alive();
-    tier.go(second);
-    for (Number who = 1; who < tier.fleet->count(); who++) {
-        tier.fleet->protocol(who)->live = 0;
-        tier.fleet->cut(who, 0, true);
+    tier.run_until_all_are_alive();
+    tier.run(second);
+    for (Number router = 1; router < tier.fleet->count(); router++) {
+        tier.fleet->protocol(router)->live = 0;
+        tier.fleet->cut(router, 0, true);
     }
-    tier.go(second);
+    tier.run(second);
     tier.drain(0, 1, tier.fleet->now());
-    tier.go(time);
-    int behind = 0;
-    for (Number who = 1; who < tier.fleet->count(); who++) behind += tier.fleet->protocol(who)->closed == 0;
-    return behind;
+    tier.run(time);
+    int missing = 0;
+    for (Number router = 1; router < tier.fleet->count(); router++)
+        missing += tier.fleet->protocol(router)->closed == 0;
+    return missing;
 }
 
 }  // namespace
 
-TEST_CASE("facts that one router alone was told, which hears nobody, reach all others within 4 s") {
+TEST_CASE("facts from a router that receives nothing reach all others within 4 s") {
     constexpr std::uint64_t seeds = 300;
     for (std::uint64_t seed = 1; seed <= seeds; seed++) {
         INFO("seed ", seed);
-        CHECK(behind_after(seed, 4 * second) == 0);
+        CHECK(routers_without_drain_after(seed, 4 * second) == 0);
     }
 }
 
-TEST_CASE("counts leave the bytes alone that are saved up for a router whose facts are behind") {
-    int held_back = 0;
+TEST_CASE("request counts do not use the bytes saved up for a router whose facts differ") {
+    int runs_that_waited = 0;
     for (std::uint64_t seed = 1; seed <= 60; seed++) {
         INFO("seed ", seed);
         Tier tier(8, seed, 50, {});
-        tier.go_until_all_are_alive();
-        for (Number who = 0; who < tier.fleet->count(); who++) tier.drain(who, 1, 0);
-        tier.go(5 * second);
-        bool told = false, shown = false;
+        tier.run_until_all_are_alive();
+        for (Number router = 0; router < tier.fleet->count(); router++) tier.drain(router, 1, 0);
+        tier.run(5 * second);
+        bool facts_sent = false, delivered = false;
         int datagrams = 0, with_counts = 0;
         tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
             auto sent = decoded(tier, bytes);
-            if (from != 1 || told || !shown || !sent) return;
-            told = to == 0 && !sent->payload.facts.empty();
-            if (told) return;
+            if (from != 1 || facts_sent || !delivered || !sent) return;
+            facts_sent = to == 0 && !sent->payload.facts.empty();
+            if (facts_sent) return;
             datagrams++;
             with_counts += !sent->payload.counts.empty();
         };
         tier.use_up_bytes(1, 2);
-        shown = true;
-        tier.show_other_digest(0, 1);
-        tier.go(2 * second);
-        CHECK(told);
+        delivered = true;
+        tier.deliver_differing_digest(0, 1);
+        tier.run(2 * second);
+        CHECK(facts_sent);
         CHECK(with_counts == 0);
-        held_back += datagrams > 0;
+        runs_that_waited += datagrams > 0;
     }
-    CHECK(held_back >= 3);  // else there were bytes at once, each time
+    CHECK(runs_that_waited >= 3);  // otherwise no run had to wait for bytes
 }
 
-TEST_CASE("a router that knows of no fact tells who holds some that it is behind") {
+TEST_CASE("a router without facts sends its digest to a router that holds some") {
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0});
-    tier.go_until_all_are_alive();
-    tier.go(5 * second);
+    tier.run_until_all_are_alive();
+    tier.run(5 * second);
     REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
-    int told = 0;
+    int datagrams_sent = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
-        told += from == 1 && to == 0 && sent && sent->message.kind == peers::Kind::News &&
-                !sent->message.payload.empty();
+        datagrams_sent += from == 1 && to == 0 && sent && sent->message.kind == peers::Kind::News &&
+                          !sent->message.payload.empty();
     };
-    tier.show_other_digest(0, 1);
-    tier.go(second);
-    CHECK(told == 1);
+    tier.deliver_differing_digest(0, 1);
+    tier.run(second);
+    CHECK(datagrams_sent == 1);
 }
 
-// Guards against a payload of a router without facts that is empty, and so is not heard, where quotas are
-// off.
-TEST_CASE("a router that knows of no fact is told by who it tells so, with facts alone shared") {
+// Guards against a router without facts whose payload is empty with quotas off, and therefore not read.
+TEST_CASE("a router without facts sends its digest also where only facts are shared") {
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0}, {true, false, false, false});
-    tier.go_until_all_are_alive();
-    tier.go(5 * second);
+    tier.run_until_all_are_alive();
+    tier.run(5 * second);
     REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
-    int told = 0;
+    int datagrams_sent = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
-        told += from == 1 && to == 0 && sent && !sent->message.payload.empty();
+        datagrams_sent += from == 1 && to == 0 && sent && !sent->message.payload.empty();
     };
-    tier.show_other_digest(0, 1);
-    tier.go(second);
-    CHECK(told == 1);
+    tier.deliver_differing_digest(0, 1);
+    tier.run(second);
+    CHECK(datagrams_sent == 1);
 }
 
-TEST_CASE("tellings are not used up on the router that told the fact, yet end where there is no other") {
-    constexpr Number teller = 3, other = 4;
+TEST_CASE("sends are not used up on the router that sent the fact, and end where there is no other") {
+    constexpr Number sender = 3, other = 4;
     constexpr Micros now = 1'764'576'000 * second;
-    ReplicatedFacts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
+    ReplicatedFacts facts(6 * second, 10), facts_of_two(6 * second, 2);
     Fact drain{FactSubject::Server, 7, 0, false, now / ms};
-    facts.receive(drain, now, teller);
-    CHECK(facts.next_to_send(10, now, teller).empty());
+    facts.receive(drain, now, sender);
+    CHECK(facts.next_to_send(10, now, sender).empty());
     CHECK(facts.has_unsent());
     CHECK(facts.next_to_send(10, now, other) == std::vector<Fact>{drain});
-    in_a_tier_of_two.receive(drain, now, teller);
+    facts_of_two.receive(drain, now, sender);
     int datagrams = 0;
-    while (in_a_tier_of_two.has_unsent() && datagrams < 100)
-        datagrams += in_a_tier_of_two.next_to_send(10, now, teller).size() < 2;
+    while (facts_of_two.has_unsent() && datagrams < 100)
+        datagrams += facts_of_two.next_to_send(10, now, sender).size() < 2;
     CHECK(datagrams == 6);
-    CHECK(!in_a_tier_of_two.has_unsent());
+    CHECK(!facts_of_two.has_unsent());
 }
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -1,5 +1,6 @@
-// What the routers share: the pieces, each by itself. With guards taken out: flaws/shared_flaws.cpp; in every
-// order: model/leases.cpp; in several processes: fleet/shared/.
+// Unit tests of src/shared, one component at a time. Related tests: flaws/shared_flaws.cpp removes one guard
+// after the other, model/loans.cpp explores the leases in every order, and fleet/shared/ runs several
+// processes.
 #include <doctest/doctest.h>
 
 #include <bit>
@@ -17,18 +18,18 @@
 
 namespace {
 
-constexpr Micros ms = 1000, second = 1000 * ms, noon_at = 1'764'576'000 * second;
-constexpr std::uint64_t noon_ms = noon_at / ms;
+constexpr Micros ms = 1000, second = 1000 * ms, noon_us = 1'764'576'000 * second;
+constexpr std::uint64_t noon_ms = noon_us / ms;
 
-feed::Endpoint box(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint endpoint(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
 }
-feed::Listing listing(std::vector<feed::Endpoint> boxes, bool complete = false) {
-    return {complete, std::move(boxes)};
+feed::Listing listing(std::vector<feed::Endpoint> endpoints, bool complete = false) {
+    return {complete, std::move(endpoints)};
 }
-ReplicatedFacts some_facts() { return ReplicatedFacts(6 * second, 10); }
+ReplicatedFacts make_facts() { return ReplicatedFacts(6 * second, 10); }
 
 std::vector<Fact> all_facts(FactSubject about) {
     std::vector<Fact> all;
@@ -38,39 +39,39 @@
     return all;
 }
 
-QuotaOptions terms_of(Number self, int routers = 4, int owners = 1) {
-    QuotaOptions terms;
-    terms.self = self;
-    terms.routers = routers;
-    terms.grantors = owners;
-    terms.now = -1000 * second;
-    return terms;
+QuotaOptions options_for(Number self, int routers = 4, int grantors = 1) {
+    QuotaOptions options;
+    options.self = self;
+    options.routers = routers;
+    options.grantors = grantors;
+    options.now = -1000 * second;
+    return options;
 }
-// A server that router `owner` alone owns.
-CacheId owned_by(Number owner, int routers = 4) {
-    Quotas quotas(terms_of(0, routers));
+// A server of which router `grantor` is the only grantor.
+CacheId server_granted_by(Number grantor, int routers = 4) {
+    Quotas quotas(options_for(0, routers));
     CacheId id = 1;
-    while (quotas.grantors_of(id, 5)[0] != owner) id++;
+    while (quotas.grantors_of(id, 5)[0] != grantor) id++;
     return id;
 }
-struct Pair {  // router 0 owns, router 1 borrows
-    CacheId server = owned_by(0);
-    Quotas owner{terms_of(0)}, borrower{terms_of(1)};
-    explicit Pair(double whole = 400'000) {
-        owner.set_cold_servers({{server, 5, whole}}, 0);
-        borrower.set_cold_servers({{server, 5, whole}}, 0);
+struct GrantorAndBorrower {  // router 0 grants, router 1 borrows
+    CacheId server = server_granted_by(0);
+    Quotas grantor{options_for(0)}, borrower{options_for(1)};
+    explicit GrantorAndBorrower(double budget = 400'000) {
+        grantor.set_cold_servers({{server, 5, budget}}, 0);
+        borrower.set_cold_servers({{server, 5, budget}}, 0);
     }
     std::vector<Addressed<Ask>> asks(Micros now) {
         return borrower.due_asks([](Number) { return true; }, now);
     }
-    // A lease of one lookup, asked for and granted at once.
-    bool lend(Micros now, double work = 100'000) {
+    // Asks for a lease of one lookup and delivers the grant at once. Returns whether there was one.
+    bool borrow_one_lookup(Micros now, double work = 100'000) {
         borrower.record_unmet_demand(server, work, work, now);
         auto sent = asks(now);
         if (sent.empty()) return false;
-        owner.handle_ask(1, 9, sent[0].message, now);
-        auto grants = owner.issue_grants(now);
-        for (auto& grant : grants) borrower.handle_grant(0, grant.message, now);
+        grantor.handle_ask(1, 9, sent[0].body, now);
+        auto grants = grantor.issue_grants(now);
+        for (auto& grant : grants) borrower.handle_grant(0, grant.body, now);
         return !grants.empty();
     }
 };
@@ -79,7 +80,7 @@
 
 // ---- facts
 
-TEST_CASE("facts join the same in any order, any number of times") {
+TEST_CASE("the join of facts is idempotent, commutative and associative") {
     for (auto about : {FactSubject::Server, FactSubject::Object}) {
         auto all = all_facts(about);
         for (auto& a : all) {
@@ -93,192 +94,193 @@
     }
 }
 
-TEST_CASE("a drain heard from another router closes the server, and only that") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
-    CHECK(facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at));
-    auto changes = facts.tick(0, noon_at);
+TEST_CASE("a drain received from another router closes that server and no other") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1), endpoint(2)}, true), noon_us);
+    CHECK(facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_us));
+    auto changes = facts.tick(0, noon_us);
     REQUIRE(changes.listing.caches.size() == 1);
     CHECK(changes.listing.caches[0].entry.id == 1);
     CHECK(changes.listing.caches[0].entry.listed == Listed::Draining);
     CHECK(!changes.listing.complete);
-    CHECK(facts.tick(0, noon_at).listing.caches.empty());  // told once
-    // A list that has it ready still is narrowed too.
-    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed ==
+    CHECK(facts.tick(0, noon_us).listing.caches.empty());  // reported once
+    // A later list that still has the server ready is narrowed too.
+    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.listed ==
           Listed::Draining);
 }
 
-TEST_CASE("a fact about a server that no list names adds none") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1)}, true), noon_at);
-    facts.receive({FactSubject::Server, 9, 0, true, noon_ms}, noon_at);
-    CHECK(facts.tick(0, noon_at).listing.caches.empty());
-    // It overtook the list: once the list has it, it counts.
-    CHECK(facts.apply_listing(listing({box(9)}), noon_at + second).caches[0].entry.listed ==
+TEST_CASE("a fact about an unlisted server adds no server, and applies once it is listed") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1)}, true), noon_us);
+    facts.receive({FactSubject::Server, 9, 0, true, noon_ms}, noon_us);
+    CHECK(facts.tick(0, noon_us).listing.caches.empty());
+    // The fact arrived before the list, and applies once the list names the server.
+    CHECK(facts.apply_listing(listing({endpoint(9)}), noon_us + second).caches[0].entry.listed ==
           Listed::Draining);
 }
 
-TEST_CASE("who hears its coordinator goes by its own list again after a while, who doesn't never") {
+TEST_CASE("a received drain lapses after the contradiction timeout only if the own coordinator is heard") {
     for (bool live : {true, false}) {
-        auto facts = some_facts();
-        facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
-        facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at);
-        CHECK(facts.tick(live ? noon_at : 0, noon_at).closed == 1);
-        auto later = noon_at + ReplicatedFacts::contradiction_timeout;
-        CHECK(facts.tick(live ? noon_at : 0, later - 1).opened == 0);
-        CHECK(facts.tick(live ? noon_at : 0, later).opened == (live ? 1 : 0));
-        CHECK(facts.tick(live ? noon_at : 0, noon_at + 3600 * second).opened == 0);
+        auto facts = make_facts();
+        facts.apply_listing(listing({endpoint(1), endpoint(2)}, true), noon_us);
+        facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_us);
+        CHECK(facts.tick(live ? noon_us : 0, noon_us).closed == 1);
+        auto later = noon_us + ReplicatedFacts::contradiction_timeout;
+        CHECK(facts.tick(live ? noon_us : 0, later - 1).opened == 0);
+        CHECK(facts.tick(live ? noon_us : 0, later).opened == (live ? 1 : 0));
+        CHECK(facts.tick(live ? noon_us : 0, noon_us + 3600 * second).opened == 0);
     }
 }
 
-TEST_CASE("what counts is how long the coordinator is heard since, not how long it was before") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
-    facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_at);
-    facts.tick(0, noon_at);
-    auto back = noon_at + 60 * second;
+TEST_CASE("the contradiction timeout starts when the coordinator is heard again") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1), endpoint(2)}, true), noon_us);
+    facts.receive({FactSubject::Server, 1, 0, false, noon_ms}, noon_us);
+    facts.tick(0, noon_us);
+    auto back = noon_us + 60 * second;
     CHECK(facts.tick(back, back + ReplicatedFacts::contradiction_timeout - 1).opened == 0);
     CHECK(facts.tick(back, back + ReplicatedFacts::contradiction_timeout).opened == 1);
 }
 
-TEST_CASE("what was heard of a server's process is nothing against its next") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1, Listed::Ready, noon_at), box(2)}, true), noon_at);
-    facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_at);
-    CHECK(facts.tick(0, noon_at).closed == 1);
-    auto next = facts.apply_listing(listing({box(1, Listed::Ready, noon_at + second), box(2)}, true),
-                                    noon_at + 2 * second);
+TEST_CASE("a fact about a server's process does not close its next process") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1, Listed::Ready, noon_us), endpoint(2)}, true), noon_us);
+    facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_us);
+    CHECK(facts.tick(0, noon_us).closed == 1);
+    auto next = facts.apply_listing(
+        listing({endpoint(1, Listed::Ready, noon_us + second), endpoint(2)}, true), noon_us + 2 * second);
     CHECK(next.caches[0].entry.listed == Listed::Ready);
-    CHECK(facts.tick(0, noon_at + 2 * second).reopened == std::vector<CacheId>{1});
+    CHECK(facts.tick(0, noon_us + 2 * second).reopened == std::vector<CacheId>{1});
 }
 
-TEST_CASE("a drain that the own coordinator takes back is open at once") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1, Listed::Draining), box(2)}, true), noon_at);
-    CHECK(facts.apply_listing(listing({box(1)}), noon_at + second).caches[0].entry.listed == Listed::Ready);
-    CHECK(facts.tick(noon_at, noon_at + second).listing.caches.empty());
+TEST_CASE("a server opens at once when the own coordinator takes back its drain") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1, Listed::Draining), endpoint(2)}, true), noon_us);
+    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.listed ==
+          Listed::Ready);
+    CHECK(facts.tick(noon_us, noon_us + second).listing.caches.empty());
 }
 
-TEST_CASE("a location's last server is closed by hearsay only where the coordinator is not heard") {
+TEST_CASE("a location's last server is closed by a received fact only while the coordinator is not heard") {
     for (bool live : {true, false}) {
-        auto facts = some_facts();
-        facts.apply_listing(listing({box(1)}, true), noon_at);
-        facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_at);
-        CHECK(facts.tick(live ? noon_at - 60 * second : 0, noon_at).closed == (live ? 0 : 1));
+        auto facts = make_facts();
+        facts.apply_listing(listing({endpoint(1)}, true), noon_us);
+        facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_us);
+        CHECK(facts.tick(live ? noon_us - 60 * second : 0, noon_us).closed == (live ? 0 : 1));
     }
 }
 
-TEST_CASE("a list without a server says that it has gone, and so it is told") {
-    auto facts = some_facts();
-    facts.apply_listing(listing({box(1), box(2)}, true), noon_at);
-    facts.apply_listing(listing({box(2)}, true), noon_at + second);
+TEST_CASE("a complete list without a server yields a fact that the server has gone") {
+    auto facts = make_facts();
+    facts.apply_listing(listing({endpoint(1), endpoint(2)}, true), noon_us);
+    facts.apply_listing(listing({endpoint(2)}, true), noon_us + second);
     auto* fact = facts.find(FactSubject::Server, 1);
     REQUIRE(fact);
     CHECK(fact->gone);
-    auto told = facts.next_to_send(10, noon_at + second);
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].key == 1);
-}
-
-TEST_CASE("purges heard are told to the router once, the latest, and none from a clock far ahead") {
-    auto facts = some_facts();
-    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 500, false, noon_ms}, noon_at));
-    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 100, false, noon_ms}, noon_at));
-    CHECK(!facts.receive({FactSubject::Object, 7, noon_ms - 300, false, noon_ms}, noon_at));
-    CHECK(!facts.receive({FactSubject::Group, 3, noon_ms + 6000, false, noon_ms}, noon_at));
-    auto changes = facts.tick(noon_at, noon_at);
+    auto sent = facts.next_to_send(10, noon_us + second);
+    REQUIRE(sent.size() == 1);
+    CHECK(sent[0].key == 1);
+}
+
+TEST_CASE("received purges are reported once, the latest only, and not from a clock far ahead") {
+    auto facts = make_facts();
+    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 500, false, noon_ms}, noon_us));
+    CHECK(facts.receive({FactSubject::Object, 7, noon_ms - 100, false, noon_ms}, noon_us));
+    CHECK(!facts.receive({FactSubject::Object, 7, noon_ms - 300, false, noon_ms}, noon_us));
+    CHECK(!facts.receive({FactSubject::Group, 3, noon_ms + 6000, false, noon_ms}, noon_us));
+    auto changes = facts.tick(noon_us, noon_us);
     REQUIRE(changes.purges.size() == 1);
     CHECK(changes.purges[0].object == 7);
-    CHECK(changes.purges[0].at == noon_at - 100 * ms);
-    CHECK(facts.tick(noon_at, noon_at).purges.empty());
+    CHECK(changes.purges[0].at == noon_us - 100 * ms);
+    CHECK(facts.tick(noon_us, noon_us).purges.empty());
     CHECK(facts.size() == 1);
-    facts.tick(noon_at, noon_at + 9 * second);
+    facts.tick(noon_us, noon_us + 9 * second);
     CHECK(facts.size() == 0);  // no older copy can be left
 }
 
-TEST_CASE("facts are bounded: what is heard beyond is refused, what the own coordinator says is not") {
-    auto facts = some_facts();
+TEST_CASE("a full store refuses received facts and accepts those of the own coordinator") {
+    auto facts = make_facts();
     for (std::uint64_t i = 1; i <= ReplicatedFacts::max_facts + 50; i++)
-        facts.receive({FactSubject::Object, i, noon_ms, false, noon_ms}, noon_at);
+        facts.receive({FactSubject::Object, i, noon_ms, false, noon_ms}, noon_us);
     CHECK(facts.size() == ReplicatedFacts::max_facts);
     CHECK(facts.refused() == 50);
-    facts.record_purge({1'000'000, 0, noon_at}, noon_at);
+    facts.record_purge({1'000'000, 0, noon_us}, noon_us);
     CHECK(facts.size() == ReplicatedFacts::max_facts);
     CHECK(facts.find(FactSubject::Object, 1'000'000));
 }
 
-TEST_CASE("routers that hold the same facts have the same digest, in whatever order they heard them") {
-    auto one = some_facts(), other = some_facts();
-    std::vector<Fact> told;
+TEST_CASE("the same facts give the same digest, in whatever order they were received") {
+    auto one = make_facts(), other = make_facts();
+    std::vector<Fact> all;
     for (std::uint64_t i = 1; i <= 20; i++)
-        told.push_back({FactSubject::Object, i, noon_ms - i, false, noon_ms - 1000});
-    for (auto& fact : told) one.receive(fact, noon_at);
-    for (auto fact = told.rbegin(); fact != told.rend(); fact++) other.receive(*fact, noon_at + ms);
-    CHECK(one.digest(noon_at) == other.digest(noon_at));
-    other.receive({FactSubject::Object, 21, noon_ms, false, noon_ms - 1000}, noon_at);
-    CHECK(one.digest(noon_at) != other.digest(noon_at));
-    // Told in turn, all come by.
+        all.push_back({FactSubject::Object, i, noon_ms - i, false, noon_ms - 1000});
+    for (auto& fact : all) one.receive(fact, noon_us);
+    for (auto fact = all.rbegin(); fact != all.rend(); fact++) other.receive(*fact, noon_us + ms);
+    CHECK(one.digest(noon_us) == other.digest(noon_us));
+    other.receive({FactSubject::Object, 21, noon_ms, false, noon_ms - 1000}, noon_us);
+    CHECK(one.digest(noon_us) != other.digest(noon_us));
+    // The rotation covers all facts.
     std::set<std::uint64_t> seen;
     for (int i = 0; i < 3; i++)
-        for (auto& fact : other.next_in_rotation(7, noon_at)) seen.insert(fact.key);
+        for (auto& fact : other.next_in_rotation(7, noon_us)) seen.insert(fact.key);
     CHECK(seen.size() == 21);
 }
 
 // ---- quotas
 
-TEST_CASE("all routers draw the same owners, and as many owners as routers are all of them") {
-    Quotas one(terms_of(0, 300, 4)), other(terms_of(7, 300, 4)), few(terms_of(2, 3, 4));
+TEST_CASE("all routers draw the same distinct grantors, which are all routers in a small tier") {
+    Quotas one(options_for(0, 300, 4)), other(options_for(7, 300, 4)), few(options_for(2, 3, 4));
     for (CacheId id = 1; id < 50; id++) {
-        auto owners = one.grantors_of(id, 5);
-        CHECK(owners == other.grantors_of(id, 5));
-        CHECK(std::set<Number>(owners.begin(), owners.end()).size() == 4);
+        auto grantors = one.grantors_of(id, 5);
+        CHECK(grantors == other.grantors_of(id, 5));
+        CHECK(std::set<Number>(grantors.begin(), grantors.end()).size() == 4);
         auto all = few.grantors_of(id, 5);
         CHECK(std::set<Number>(all.begin(), all.end()).size() == 3);
     }
 }
 
-TEST_CASE("an owner uses its part alone, and no more within a window") {
-    Pair pair;
-    CHECK(pair.owner.available(pair.server, 0) == 400'000);
-    pair.owner.consume(pair.server, 300'000, 1, 0);
-    CHECK(pair.owner.available(pair.server, 0) == 100'000);
-    CHECK(pair.owner.available(pair.server, second) == 100'000);
-    CHECK(pair.owner.available(pair.server, pair.owner.use_lifetime()) == 400'000);
+TEST_CASE("a grantor uses its own share without asking, and no more within a window") {
+    GrantorAndBorrower pair;
+    CHECK(pair.grantor.available(pair.server, 0) == 400'000);
+    pair.grantor.consume(pair.server, 300'000, 1, 0);
+    CHECK(pair.grantor.available(pair.server, 0) == 100'000);
+    CHECK(pair.grantor.available(pair.server, second) == 100'000);
+    CHECK(pair.grantor.available(pair.server, pair.grantor.use_lifetime()) == 400'000);
     CHECK(pair.borrower.available(pair.server, 0) == 0);
     CHECK(pair.borrower.available(777, 0) == 0);
 }
 
-TEST_CASE("what is lent is blocked until one window after its end") {
-    Pair pair;
-    REQUIRE(pair.lend(0));
+TEST_CASE("a lent amount is blocked until one window after the end of its lease") {
+    GrantorAndBorrower pair;
+    REQUIRE(pair.borrow_one_lookup(0));
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
-    CHECK(pair.owner.available(pair.server, 0) == 300'000);
-    auto end = terms_of(0).lease_duration;
+    CHECK(pair.grantor.available(pair.server, 0) == 300'000);
+    auto end = options_for(0).lease_duration;
     CHECK(pair.borrower.available(pair.server, end - 60 * ms) == 100'000);
     CHECK(pair.borrower.available(pair.server, end) == 0);
-    CHECK(pair.owner.available(pair.server, end + pair.owner.use_lifetime()) == 300'000);
-    CHECK(pair.owner.available(pair.server, end + pair.owner.use_lifetime() + 50 * ms) == 400'000);
+    CHECK(pair.grantor.available(pair.server, end + pair.grantor.use_lifetime()) == 300'000);
+    CHECK(pair.grantor.available(pair.server, end + pair.grantor.use_lifetime() + 50 * ms) == 400'000);
 }
 
-TEST_CASE("a right is good for a moment, and not past its loan") {
-    Pair pair;
-    REQUIRE(pair.lend(0));
+TEST_CASE("a use expires after use_validity, and not later than its lease") {
+    GrantorAndBorrower pair;
+    REQUIRE(pair.borrow_one_lookup(0));
     CHECK(pair.borrower.consume(pair.server, 100'000, 1, second) == second + Quotas::use_validity);
-    auto late = terms_of(0).lease_duration - 70 * ms;
+    auto late = options_for(0).lease_duration - 70 * ms;
     auto until = pair.borrower.consume(pair.server, 1, 2, late);
-    CHECK(until <= terms_of(0).lease_duration - 50 * ms);
+    CHECK(until <= options_for(0).lease_duration - 50 * ms);
 }
 
-TEST_CASE("a loan comes once, to who asked for it, and not too late") {
-    Pair pair;
+TEST_CASE("a grant is accepted once, only by the asking incarnation, from the asked router, in time") {
+    GrantorAndBorrower pair;
     pair.borrower.record_unmet_demand(pair.server, 100'000, 100'000, 0);
-    auto ask = pair.asks(0).at(0).message;
-    pair.owner.handle_ask(1, 9, ask, 0);
-    auto grant = pair.owner.issue_grants(0).at(0).message;
+    auto ask = pair.asks(0).at(0).body;
+    pair.grantor.handle_ask(1, 9, ask, 0);
+    auto grant = pair.grantor.issue_grants(0).at(0).body;
     auto copy = pair.borrower;
-    copy.handle_grant(0, grant, terms_of(0).lease_duration);  // its time is over
-    CHECK(copy.available(pair.server, terms_of(0).lease_duration) == 0);
-    pair.borrower.handle_grant(2, grant, 0);  // not from whom it was asked
+    copy.handle_grant(0, grant, options_for(0).lease_duration);  // the lease has expired
+    CHECK(copy.available(pair.server, options_for(0).lease_duration) == 0);
+    pair.borrower.handle_grant(2, grant, 0);  // not from the router that was asked
     CHECK(pair.borrower.available(pair.server, 0) == 0);
     auto other = grant;
     other.number++;
@@ -287,105 +289,105 @@
     pair.borrower.handle_grant(0, grant, 0);
     pair.borrower.handle_grant(0, grant, 0);
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
-    Quotas next_life(terms_of(1));
-    next_life.set_cold_servers({{pair.server, 5, 400'000}}, 0);
-    next_life.handle_grant(0, grant, 0);
-    CHECK(next_life.available(pair.server, 0) == 0);
+    Quotas restarted(options_for(1));
+    restarted.set_cold_servers({{pair.server, 5, 400'000}}, 0);
+    restarted.handle_grant(0, grant, 0);
+    CHECK(restarted.available(pair.server, 0) == 0);
 }
 
-TEST_CASE("amounts that were not asked for are cut to what was") {
-    Pair pair;
+TEST_CASE("granted amounts are capped at what was asked for, and asked amounts at half of a share") {
+    GrantorAndBorrower pair;
     pair.borrower.record_unmet_demand(pair.server, 100'000, 100'000, 0);
-    auto ask = pair.asks(0).at(0).message;
+    auto ask = pair.asks(0).at(0).body;
     pair.borrower.handle_grant(0, {pair.server, ask.number, 1e12}, 0);
     CHECK(pair.borrower.available(pair.server, 0) == 100'000);
     CHECK(pair.borrower.counters().amounts_capped == 1);
-    // And an ask for everything gets half of the part at most.
-    pair.owner.handle_ask(2, 9, {pair.server, 5, 1, 1e12, 100'000, 0}, 0);
-    auto grants = pair.owner.issue_grants(0);
+    // An ask for more than everything gets at most half of the grantor's share.
+    pair.grantor.handle_ask(2, 9, {pair.server, 5, 1, 1e12, 100'000, 0}, 0);
+    auto grants = pair.grantor.issue_grants(0);
     REQUIRE(grants.size() == 1);
-    CHECK(grants[0].message.amount == 200'000);
-    pair.owner.handle_ask(2, 9, {pair.server, 5, 2, -1, 100'000, 0}, 0);
-    pair.owner.handle_ask(2, 9, {pair.server, 5, 3, 1, 0, 0}, 0);
-    CHECK(pair.owner.issue_grants(0).empty());
-}
-
-TEST_CASE("a new life neither uses nor lends before what its last one promised is over") {
-    auto terms = terms_of(0);
-    terms.now = 0;
-    Quotas owner(terms);
-    auto server = owned_by(0);
-    owner.set_cold_servers({{server, 5, 400'000}}, 0);
-    auto waits = owner.restart_wait();
-    CHECK(waits >= terms.lease_duration + owner.use_lifetime());
-    CHECK(owner.available(server, waits - 1) == 0);
-    owner.handle_ask(1, 9, {server, 5, 1, 100'000, 100'000, 0}, waits - 10);
-    CHECK(owner.issue_grants(waits - 10).empty());
-    CHECK(owner.available(server, waits) == 400'000);
-    CHECK(owner.issue_grants(waits).size() == 1);  // it has waited here
-}
-
-TEST_CASE("a loan in use is renewed, raised where more is wanted, and the owner blocks it on") {
-    Pair pair;
-    REQUIRE(pair.lend(0));
-    auto lease = terms_of(0).lease_duration;
+    CHECK(grants[0].body.amount == 200'000);
+    pair.grantor.handle_ask(2, 9, {pair.server, 5, 2, -1, 100'000, 0}, 0);
+    pair.grantor.handle_ask(2, 9, {pair.server, 5, 3, 1, 0, 0}, 0);
+    CHECK(pair.grantor.issue_grants(0).empty());
+}
+
+TEST_CASE("a restarted grantor neither uses nor grants until its earlier leases have ended") {
+    auto options = options_for(0);
+    options.now = 0;
+    Quotas grantor(options);
+    auto server = server_granted_by(0);
+    grantor.set_cold_servers({{server, 5, 400'000}}, 0);
+    auto wait = grantor.restart_wait();
+    CHECK(wait >= options.lease_duration + grantor.use_lifetime());
+    CHECK(grantor.available(server, wait - 1) == 0);
+    grantor.handle_ask(1, 9, {server, 5, 1, 100'000, 100'000, 0}, wait - 10);
+    CHECK(grantor.issue_grants(wait - 10).empty());
+    CHECK(grantor.available(server, wait) == 400'000);
+    CHECK(grantor.issue_grants(wait).size() == 1);  // the ask was queued until then
+}
+
+TEST_CASE("a lease in use is renewed, raised where more is wanted, and stays blocked") {
+    GrantorAndBorrower pair;
+    REQUIRE(pair.borrow_one_lookup(0));
+    auto lease = options_for(0).lease_duration;
     for (Micros now = 0; now < 4 * lease; now += 100 * ms) {
         if (pair.borrower.available(pair.server, now) >= 100'000)
             pair.borrower.consume(pair.server, 100'000, now, now);
-        pair.lend(now);
+        pair.borrow_one_lookup(now);
         REQUIRE(pair.borrower.available(pair.server, now) >= 0);
     }
-    CHECK(pair.owner.counters().leases_renewed > 2);
+    CHECK(pair.grantor.counters().leases_renewed > 2);
     auto shares = pair.borrower.usage(pair.server, 4 * lease - 100 * ms);
     CHECK(shares.borrowed >= 200'000);
-    CHECK(pair.owner.usage(pair.server, 4 * lease - 100 * ms).lent >= shares.borrowed);
+    CHECK(pair.grantor.usage(pair.server, 4 * lease - 100 * ms).lent >= shares.borrowed);
 }
 
-TEST_CASE("what never reached the server is given back, to the use it was told with") {
-    Pair pair;
-    pair.owner.consume(pair.server, 300'000, 11, 0);
-    pair.owner.consume(pair.server, 100'000, 12, 500 * ms);
-    pair.owner.refund(pair.server, 100'000, 12, 600 * ms);
-    CHECK(pair.owner.available(pair.server, 600 * ms) == 100'000);
-    pair.owner.refund(pair.server, 100'000, 99, 600 * ms);
-    CHECK(pair.owner.available(pair.server, 600 * ms) == 100'000);
+TEST_CASE("a refund goes to the use with the same tag") {
+    GrantorAndBorrower pair;
+    pair.grantor.consume(pair.server, 300'000, 11, 0);
+    pair.grantor.consume(pair.server, 100'000, 12, 500 * ms);
+    pair.grantor.refund(pair.server, 100'000, 12, 600 * ms);
+    CHECK(pair.grantor.available(pair.server, 600 * ms) == 100'000);
+    pair.grantor.refund(pair.server, 100'000, 99, 600 * ms);
+    CHECK(pair.grantor.available(pair.server, 600 * ms) == 100'000);
 }
 
-TEST_CASE("a server that leaves the list and is back with the same start has not been forgotten") {
-    Pair pair;
-    pair.owner.consume(pair.server, 400'000, 1, 0);
-    pair.owner.set_cold_servers({}, 100 * ms);
-    pair.owner.set_cold_servers({{pair.server, 5, 400'000}}, 200 * ms);
-    CHECK(pair.owner.available(pair.server, 200 * ms) == 0);
+TEST_CASE("a server that leaves the list and returns with the same start keeps its uses") {
+    GrantorAndBorrower pair;
+    pair.grantor.consume(pair.server, 400'000, 1, 0);
+    pair.grantor.set_cold_servers({}, 100 * ms);
+    pair.grantor.set_cold_servers({{pair.server, 5, 400'000}}, 200 * ms);
+    CHECK(pair.grantor.available(pair.server, 200 * ms) == 0);
 }
 
-// Any number of routers, any order: what all send within a window is at most the whole. The network loses,
-// delays and doubles; routers are started again, and stop between the look and the sending.
-TEST_CASE("over every window all together send at most the whole, whatever happens") {
+// Random runs with 3 to 8 routers and 1 to 4 grantors. The network loses, delays and duplicates messages;
+// routers restart, and stop between the check of a quota and the sending.
+TEST_CASE("all routers together never exceed the budget in any window") {
     for (unsigned seed = 1; seed <= 40; seed++) {
         std::mt19937 chance(seed);
         auto draw = [&](int most) { return static_cast<int>(chance() % static_cast<unsigned>(most)); };
-        int routers = 3 + draw(6), owners = 1 + draw(4);
+        int routers = 3 + draw(6), grantors = 1 + draw(4);
         CacheId server = 1 + static_cast<CacheId>(draw(1000));
-        double whole = 400'000;
+        double budget = 400'000;
         std::vector<Quotas> all;
         std::vector<Life> lives(static_cast<std::size_t>(routers), 1);
-        std::vector<Micros> skew;  // steady clocks start anywhere
+        std::vector<Micros> skew;  // steady clocks start at arbitrary times
         for (Number i = 0; i < routers; i++) {
-            auto terms = terms_of(i, routers, owners);
-            terms.seed = chance();
-            all.emplace_back(terms);
+            auto options = options_for(i, routers, grantors);
+            options.seed = chance();
+            all.emplace_back(options);
             skew.push_back(draw(1000) * second);
-            all.back().set_cold_servers({{server, 5, whole}}, skew.back());
+            all.back().set_cold_servers({{server, 5, budget}}, skew.back());
         }
-        struct Flying {
+        struct Message {
             Micros at;
             Number from, to;
             Life life;
             std::optional<Ask> ask;
             std::optional<Grant> grant;
         };
-        std::vector<Flying> flying;
+        std::vector<Message> in_flight;
         std::vector<std::pair<Micros, double>> sent;
         struct Pending {
             Micros at, until;
@@ -396,21 +398,21 @@
             for (std::size_t i = 0; i < all.size(); i++) {
                 auto clock = now + skew[i];
                 auto& quotas = all[i];
-                quotas.set_cold_servers({{server, 5, whole}}, clock);
+                quotas.set_cold_servers({{server, 5, budget}}, clock);
                 if (draw(4) == 0) {
                     if (quotas.available(server, clock) >= 100'000) {
                         auto until = quotas.consume(server, 100'000, clock, clock);
-                        // Mostly written at once, now and then after a stop.
+                        // Mostly written at once, sometimes after the process was stopped.
                         pending.push_back({now + (draw(10) ? draw(60) * ms : draw(6000) * ms), until, i});
                     } else {
                         quotas.record_unmet_demand(server, 100'000, 100'000, clock);
                     }
                 }
-                auto post = [&](Flying one) {
+                auto post = [&](Message outgoing) {
                     if (draw(5) == 0) return;
                     for (int copies = draw(5) ? 1 : 2; copies > 0; copies--) {
-                        one.at = now + (draw(20) ? draw(40) * ms : draw(3000) * ms);
-                        flying.push_back(one);
+                        outgoing.at = now + (draw(20) ? draw(40) * ms : draw(3000) * ms);
+                        in_flight.push_back(outgoing);
                     }
                 };
                 auto self = static_cast<Number>(i);
@@ -419,15 +421,15 @@
                 for (auto& [to, grant] : quotas.issue_grants(clock)) post({0, self, to, lives[i], {}, grant});
                 if (draw(2000) == 0) {
                     lives[i]++;
-                    auto terms = terms_of(self, routers, owners);
-                    terms.now = clock;
-                    terms.seed = chance();
-                    quotas = Quotas(terms);
-                    quotas.set_cold_servers({{server, 5, whole}}, clock);
+                    auto options = options_for(self, routers, grantors);
+                    options.now = clock;
+                    options.seed = chance();
+                    quotas = Quotas(options);
+                    quotas.set_cold_servers({{server, 5, budget}}, clock);
                     std::erase_if(pending, [&](auto& one) { return one.router == i; });
                 }
             }
-            std::erase_if(flying, [&](auto& one) {
+            std::erase_if(in_flight, [&](auto& one) {
                 if (one.at > now) return false;
                 auto to = static_cast<std::size_t>(one.to);
                 if (one.ask) all[to].handle_ask(one.from, one.life, *one.ask, now + skew[to]);
@@ -447,60 +449,60 @@
             sum += sent[last].second;
             while (sent[last].first - sent[first].first >= second) sum -= sent[first++].second;
             INFO("seed ", seed, " at ", sent[last].first);
-            REQUIRE(sum <= whole + 1);
+            REQUIRE(sum <= budget + 1);
         }
     }
 }
 
-// ---- judgements
+// ---- peer health reports
 
-TEST_CASE("two witnesses make a judgement, one does not, and age makes it fade") {
+TEST_CASE("two reporters are conclusive, one is not, and reports lose weight with age") {
     HealthReports health_reports;
     Complaint slow{5, 0, 3, 0, 6.0, 0};
-    health_reports.receive(1, 0, 1, {4, 1}, slow, noon_at);
-    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 0);
-    health_reports.receive(2, 1, 1, {4, 1}, slow, noon_at);
-    auto fresh = health_reports.aggregate(5, 0, noon_at);
+    health_reports.receive(1, 0, 1, {4, 1}, slow, noon_us);
+    CHECK(health_reports.aggregate(5, 0, noon_us).samples == 0);
+    health_reports.receive(2, 1, 1, {4, 1}, slow, noon_us);
+    auto fresh = health_reports.aggregate(5, 0, noon_us);
     CHECK(fresh.samples == 6);
     CHECK(fresh.slow == 6.0);
-    auto later = health_reports.aggregate(5, 0, noon_at + HealthReports::half_life);
+    auto later = health_reports.aggregate(5, 0, noon_us + HealthReports::half_life);
     CHECK(later.samples == doctest::Approx(3));
-    CHECK(health_reports.aggregate(5, 0, noon_at + HealthReports::report_lifetime).samples == 0);
-    CHECK(health_reports.aggregate(5, 1, noon_at).samples == 0);  // it was started again since
-    health_reports.expire(noon_at + HealthReports::report_lifetime);
+    CHECK(health_reports.aggregate(5, 0, noon_us + HealthReports::report_lifetime).samples == 0);
+    CHECK(health_reports.aggregate(5, 1, noon_us).samples == 0);  // the server has restarted since
+    health_reports.expire(noon_us + HealthReports::report_lifetime);
     CHECK(health_reports.size() == 0);
 }
 
-TEST_CASE("witnesses in different zones count more than as many in one") {
+TEST_CASE("reporters in different zones weigh more than as many in one zone") {
     HealthReports one_zone, many;
     Complaint bad{5, 0, 4, 1, 0, 0};
     for (Number i = 0; i < 4; i++) {
-        one_zone.receive(i, 0, 1, {4, 1}, bad, noon_at);
-        many.receive(i, i, 1, {4, 1}, bad, noon_at);
+        one_zone.receive(i, 0, 1, {4, 1}, bad, noon_us);
+        many.receive(i, i, 1, {4, 1}, bad, noon_us);
     }
-    CHECK(many.aggregate(5, 0, noon_at).samples == 16);
-    CHECK(one_zone.aggregate(5, 0, noon_at).samples == 8);
+    CHECK(many.aggregate(5, 0, noon_us).samples == 16);
+    CHECK(one_zone.aggregate(5, 0, noon_us).samples == 8);
 }
 
-TEST_CASE("a witness that alone complains of most servers is itself doubted") {
+TEST_CASE("a reporter that complains of most servers counts only beside two others") {
     HealthReports health_reports;
     Complaint bad{5, 0, 4, 1, 0, 0};
-    health_reports.receive(1, 0, 1, {5, 5}, bad, noon_at);
-    health_reports.receive(2, 1, 1, {5, 1}, bad, noon_at);
-    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 0);
-    health_reports.receive(3, 2, 1, {5, 1}, bad, noon_at);
-    CHECK(health_reports.aggregate(5, 0, noon_at).samples == 12);  // beside two others it is heard
+    health_reports.receive(1, 0, 1, {5, 5}, bad, noon_us);
+    health_reports.receive(2, 1, 1, {5, 1}, bad, noon_us);
+    CHECK(health_reports.aggregate(5, 0, noon_us).samples == 0);
+    health_reports.receive(3, 2, 1, {5, 1}, bad, noon_us);
+    CHECK(health_reports.aggregate(5, 0, noon_us).samples == 12);  // counts beside two other reporters
 }
 
-TEST_CASE("one witness can't make a server as slow as it likes") {
+TEST_CASE("a single reporter does not determine the combined slowdown") {
     HealthReports health_reports;
-    health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_at);
-    health_reports.receive(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_at);
-    health_reports.receive(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_at);
-    CHECK(health_reports.aggregate(5, 0, noon_at).slow == 3.2);
+    health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_us);
+    health_reports.receive(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_us);
+    health_reports.receive(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_us);
+    CHECK(health_reports.aggregate(5, 0, noon_us).slow == 3.2);
 }
 
-TEST_CASE("hearsay speaks only where own samples are few, and own samples beat it") {
+TEST_CASE("peer reports are used only where own samples are few, and own samples take precedence") {
     auto module = router();
     auto* server = find_server(module, 1);
     server->hearsay = {8, 0.9, 0};
@@ -513,11 +515,11 @@
     CHECK(complaint(module, *server, noon) == nullptr);
     server->judged_at = 0;
     server->verdicts.clear();
-    server->hearsay = {5, 1, 9};  // too few
+    server->hearsay = {5, 1, 9};  // too few samples
     CHECK(complaint(module, *server, noon) == nullptr);
 }
 
-TEST_CASE("a location's last path stays, whatever others say") {
+TEST_CASE("a location's servers stay usable if peer reports condemn all of them") {
     auto module = router();
     for (CacheId id : {1, 2, 3}) find_server(module, id)->hearsay = {20, 1, 20};
     for (auto& server : module.servers) server.last_trial = noon;
@@ -527,85 +529,85 @@
     CHECK(answer.send);
 }
 
-TEST_CASE("a witness tells of what stands out by two samples, beside its peers") {
+TEST_CASE("a router complains of a server that two samples show to be worse than its peers") {
     auto module = router();
     for (CacheId id : {1, 2, 3})
         for (int i = 0; i < 2; i++) {
             find_server(module, id)->slowness.push_back({noon, id == 2 ? 9.0 : 1.2});
             find_server(module, id)->verdicts.push_back({noon, 0});
         }
-    auto told = module.witnessed(noon);
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].server == 2);
-    CHECK(told[0].slow == doctest::Approx(7.5));
+    auto complaints = module.witnessed(noon);
+    REQUIRE(complaints.size() == 1);
+    CHECK(complaints[0].server == 2);
+    CHECK(complaints[0].slow == doctest::Approx(7.5));
     CHECK(module.measured(noon) == 3);
-    // What all share is no complaint.
+    // No complaint where all servers are equally slow.
     for (CacheId id : {1, 3})
         for (auto& sample : find_server(module, id)->slowness) sample.value = 9;
     CHECK(module.witnessed(noon).empty());
 }
 
-// ---- counts
+// ---- request counts
 
-TEST_CASE("counts never fall under the own ones and never rise over what all were asked") {
+TEST_CASE("request counts never exceed the number of routers that were asked") {
     constexpr int routers = 40;
     std::vector<RequestCounts> all;
     all.reserve(routers);
     for (Number i = 0; i < routers; i++) all.emplace_back(i, routers);
     std::mt19937 chance(5);
-    std::map<std::uint64_t, std::set<Number>> truly;
+    std::map<std::uint64_t, std::set<Number>> asked_routers;
     for (int step = 0; step < 4000; step++) {
         auto who = static_cast<Number>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
-        all[static_cast<std::size_t>(who)].count_request(name, noon_at);
-        truly[name].insert(who);
+        all[static_cast<std::size_t>(who)].count_request(name, noon_us);
+        asked_routers[name].insert(who);
         auto& from = all[chance() % routers];
         auto& to = all[chance() % routers];
-        for (auto& count : from.next_to_send(5, noon_at)) {
-            to.receive(count, noon_at);
-            to.receive(count, noon_at);
+        for (auto& count : from.next_to_send(5, noon_us)) {
+            to.receive(count, noon_us);
+            to.receive(count, noon_us);
         }
         for (std::uint64_t probe = 1; probe <= 50; probe += 7) {
-            auto elsewhere = to.other_routers_asked(probe, noon_at);
+            auto elsewhere = to.other_routers_asked(probe, noon_us);
             REQUIRE(elsewhere >= 0);
-            REQUIRE(elsewhere <= static_cast<int>(truly[probe].size()));
+            REQUIRE(elsewhere <= static_cast<int>(asked_routers[probe].size()));
         }
     }
-    int told = 0;
-    for (std::uint64_t name = 1; name <= 50; name++) told += all[0].other_routers_asked(name, noon_at) >= 4;
-    CHECK(told > 25);
+    int known = 0;
+    for (std::uint64_t name = 1; name <= 50; name++) known += all[0].other_routers_asked(name, noon_us) >= 4;
+    CHECK(known > 25);
 }
 
-TEST_CASE("an epoch that is over counts half, then nothing, and counts of a life long over are dropped") {
+TEST_CASE("an epoch counts half in the next and then nothing, and older counts are dropped") {
     RequestCounts request_counts(0, 40);
     std::uint32_t six = 0;
     for (Number i = 1; std::popcount(six) < 6; i++)
         if (RequestCounts::bit_of(i) != RequestCounts::bit_of(0)) six |= RequestCounts::bit_of(i);
-    auto epoch = RequestCounts::epoch_of(noon_at);
-    CHECK(request_counts.receive({7, epoch, six}, noon_at));
-    CHECK(!request_counts.receive({7, epoch, six}, noon_at));
-    CHECK(request_counts.other_routers_asked(7, noon_at) == 6);
-    CHECK(request_counts.count_request(8, noon_at + RequestCounts::epoch_duration) == 0);
-    CHECK(request_counts.other_routers_asked(7, noon_at + RequestCounts::epoch_duration) == 3);
-    CHECK(!request_counts.receive({9, epoch - 1, six}, noon_at + RequestCounts::epoch_duration));
-    CHECK(request_counts.other_routers_asked(9, noon_at + RequestCounts::epoch_duration) == 0);
-    request_counts.count_request(8, noon_at + 2 * RequestCounts::epoch_duration);
-    CHECK(request_counts.other_routers_asked(7, noon_at + 2 * RequestCounts::epoch_duration) == 0);
-}
-
-TEST_CASE("names are bounded, and those that change a draw stay") {
+    auto epoch = RequestCounts::epoch_of(noon_us);
+    CHECK(request_counts.receive({7, epoch, six}, noon_us));
+    CHECK(!request_counts.receive({7, epoch, six}, noon_us));
+    CHECK(request_counts.other_routers_asked(7, noon_us) == 6);
+    CHECK(request_counts.count_request(8, noon_us + RequestCounts::epoch_duration) == 0);
+    CHECK(request_counts.other_routers_asked(7, noon_us + RequestCounts::epoch_duration) == 3);
+    CHECK(!request_counts.receive({9, epoch - 1, six}, noon_us + RequestCounts::epoch_duration));
+    CHECK(request_counts.other_routers_asked(9, noon_us + RequestCounts::epoch_duration) == 0);
+    request_counts.count_request(8, noon_us + 2 * RequestCounts::epoch_duration);
+    CHECK(request_counts.other_routers_asked(7, noon_us + 2 * RequestCounts::epoch_duration) == 0);
+}
+
+TEST_CASE("when full, names that other routers were asked for are kept") {
     RequestCounts request_counts(0, 40);
-    auto epoch = RequestCounts::epoch_of(noon_at);
+    auto epoch = RequestCounts::epoch_of(noon_us);
     auto other = RequestCounts::bit_of(1) == RequestCounts::bit_of(0) ? RequestCounts::bit_of(2)
                                                                       : RequestCounts::bit_of(1);
-    for (std::uint64_t i = 1; i <= 100; i++) request_counts.receive({i, epoch, other}, noon_at);
+    for (std::uint64_t i = 1; i <= 100; i++) request_counts.receive({i, epoch, other}, noon_us);
     for (std::uint64_t i = 1000; i < 1000 + 3 * RequestCounts::max_names; i++)
-        request_counts.count_request(i, noon_at);
+        request_counts.count_request(i, noon_us);
     CHECK(request_counts.size() <= RequestCounts::max_names);
-    for (std::uint64_t i = 1; i <= 100; i++) REQUIRE(request_counts.other_routers_asked(i, noon_at) == 1);
+    for (std::uint64_t i = 1; i <= 100; i++) REQUIRE(request_counts.other_routers_asked(i, noon_us) == 1);
 }
 
-TEST_CASE("p follows how much of the location is heard, without a jump") {
+TEST_CASE("p grows in small steps with the share of the location that is alive") {
     auto facts = a_site();
     facts.routers_by_zone = {0, 40, 2};
     Router module(facts, 1);
@@ -620,59 +622,59 @@
     CHECK(last == 1);
 }
 
-// ---- what rides on a datagram
-
-TEST_CASE("a load is read as it was written, within its room") {
-    Payload load;
-    load.configuration_hash = 77;
-    load.digest = 88;
-    load.facts = {{FactSubject::Server, 5, 0, true, noon_ms - 300},
-                  {FactSubject::Server, 6, noon_ms - 12'345, false, noon_ms},
-                  {FactSubject::Object, ~0ULL, noon_ms - 50, false, noon_ms - 100},
-                  {FactSubject::Group, 0, noon_ms + 20, false, noon_ms}};
-    load.asks = {{9, 10, 11, 100'000, 50'000, 12}};
-    load.grants = {{9, 11, 100'000}};
-    load.breadth = {20, 2};
-    load.complaints = {{5, 3, 4, 0.25, 3.5, 700 * ms}};
-    load.counts = {{123, 40, 0xf0}, {124, 39, 3}};
-    auto written = encode(load, 250, noon_at);
+// ---- payload
+
+TEST_CASE("a payload decodes as it was encoded, and never exceeds its room") {
+    Payload payload;
+    payload.configuration_hash = 77;
+    payload.digest = 88;
+    payload.facts = {{FactSubject::Server, 5, 0, true, noon_ms - 300},
+                     {FactSubject::Server, 6, noon_ms - 12'345, false, noon_ms},
+                     {FactSubject::Object, ~0ULL, noon_ms - 50, false, noon_ms - 100},
+                     {FactSubject::Group, 0, noon_ms + 20, false, noon_ms}};
+    payload.asks = {{9, 10, 11, 100'000, 50'000, 12}};
+    payload.grants = {{9, 11, 100'000}};
+    payload.breadth = {20, 2};
+    payload.complaints = {{5, 3, 4, 0.25, 3.5, 700 * ms}};
+    payload.counts = {{123, 40, 0xf0}, {124, 39, 3}};
+    auto written = encode(payload, 250, noon_us);
     CHECK(written.bytes.size() <= 250);
     CHECK(written.facts == 4);
     CHECK(written.counts == 2);
-    auto read = decode(written.bytes, noon_at);
+    auto read = decode(written.bytes, noon_us);
     REQUIRE(read);
-    CHECK(read->facts == load.facts);
-    CHECK(read->asks == load.asks);
-    CHECK(read->grants == load.grants);
-    CHECK(read->complaints == load.complaints);
-    CHECK(read->counts == load.counts);
+    CHECK(read->facts == payload.facts);
+    CHECK(read->asks == payload.asks);
+    CHECK(read->grants == payload.grants);
+    CHECK(read->complaints == payload.complaints);
+    CHECK(read->counts == payload.counts);
     CHECK(read->breadth.measured == 20);
     for (std::size_t room = 0; room < 250; room++) {
-        auto less = encode(load, room, noon_at);
+        auto less = encode(payload, room, noon_us);
         REQUIRE(less.bytes.size() <= room);
-        REQUIRE((less.bytes.empty() || decode(less.bytes, noon_at)));
+        REQUIRE((less.bytes.empty() || decode(less.bytes, noon_us)));
     }
 }
 
-TEST_CASE("loads of any bytes cost only themselves") {
+TEST_CASE("corrupt payloads are rejected or decode to values in range") {
     std::mt19937 chance(3);
-    Payload load;
-    load.facts = {{FactSubject::Object, 7, noon_ms, false, noon_ms}};
-    load.asks = {{9, 10, 11, 100'000, 50'000, 12}};
-    auto good = encode(load, 250, noon_at).bytes;
+    Payload payload;
+    payload.facts = {{FactSubject::Object, 7, noon_ms, false, noon_ms}};
+    payload.asks = {{9, 10, 11, 100'000, 50'000, 12}};
+    auto good = encode(payload, 250, noon_us).bytes;
     for (int i = 0; i < 20'000; i++) {
         auto bytes = good;
         for (int flips = 1 + static_cast<int>(chance() % 4); flips > 0; flips--)
             bytes[chance() % bytes.size()] = static_cast<char>(chance());
-        if (auto read = decode(bytes, noon_at))
+        if (auto read = decode(bytes, noon_us))
             for (auto& fact : read->facts) REQUIRE(fact.time < 1ULL << 53);
     }
-    CHECK(!decode("\xff\xff", noon_at));
+    CHECK(!decode("\xff\xff", noon_us));
 }
 
-// ---- the operators' file
+// ---- operators' file
 
-TEST_CASE("what is shared is named in the operators' file, with peers, and faults are told") {
+TEST_CASE("the operators' file names what is shared, only beside peers, and its faults are reported") {
     auto good = operate::read(
         R"({"peers": {}, "shared": {"rights": {"owners": 6, "loan_ms": 900}, "counts": false}})");
     CHECK(good.faults.empty());
@@ -689,8 +691,8 @@
     CHECK(!operate::read("{}").plan.shared);
 }
 
-TEST_CASE("the onlooker's budget counts what came within a window") {
-    rig::ColdTerms terms;  // 8 lookups a window at the start, 80 at the end
+TEST_CASE("the judge of budgets counts the lookups within a window") {
+    rig::ColdTerms terms;  // 8 lookups per window at the start, 80 at the end
     std::vector<std::int64_t> seen(8, 1000);
     CHECK(rig::judge(seen, 0, 5'000'000, terms).exceeded == 0);
     seen.push_back(1000);
@@ -699,59 +701,59 @@
     CHECK(rig::judge(seen, 0, 5'000'000, terms).exceeded == 0);
 }
 
-// What a router with a fast clock sent in the last moments of a server's cold time was bounded by nothing: by
-// its own clock that time was over.
-TEST_CASE("a cold budget holds to the end of the cold time by the slowest clock that is allowed") {
+// Guards against a router with a fast clock, by which the cold time of a server ends early, so that nothing
+// bounds what the router sends in the last moments of the true cold time.
+TEST_CASE("a cold budget is shared until the cold time ends by the slowest clock that is allowed") {
     constexpr Micros ahead = 250 * ms;
     peers::Start start;
     start.self = 0;
     start.routers = 12;
-    start.now = noon_at;
+    start.now = noon_us;
     peers::Membership membership(start);
-    ExchangeOptions terms;
-    terms.settings = rig::shared_site();
-    terms.now = {noon_at, 1000 * second};
-    Exchange exchange(membership, terms);
+    ExchangeOptions options;
+    options.settings = rig::shared_site();
+    options.now = {noon_us, 1000 * second};
+    Exchange exchange(membership, options);
     feed::Endpoint parent;
-    parent.entry = {101, Listed::Ready, 4, terms.settings.parent_kind, 0, 0, noon_at};
-    auto at = [&](Micros age) { return ClockReadings{noon_at + age, 1000 * second + age}; };
+    parent.entry = {101, Listed::Ready, 4, options.settings.parent_kind, 0, 0, noon_us};
+    auto at = [&](Micros age) { return ClockReadings{noon_us + age, 1000 * second + age}; };
     auto is_shared = [&](Micros age) {
         exchange.tick(1, at(age));
         return exchange.available_quota(101, at(age)) >= 0;
     };
     exchange.apply_listing(listing({parent}), at(0));
-    const auto cold = terms.settings.parent_cold;
+    const auto cold = options.settings.parent_cold;
     CHECK(exchange.parent_cold() == cold + ahead);
     CHECK(is_shared(cold - ms));
     CHECK(is_shared(cold + ahead - ms));
     CHECK(!is_shared(cold + ahead));
-    // A list that tells the server anew, in that moment, changes nothing.
+    // A list that names the server again at that moment changes nothing.
     exchange.apply_listing(listing({parent}), at(cold + ahead - ms));
     CHECK(is_shared(cold + ahead - ms));
     exchange.apply_listing(listing({parent}), at(cold + ahead));
     CHECK(!is_shared(cold + ahead));
 }
 
-TEST_CASE("where no budget is shared, a server's cold time is that of the settings") {
+TEST_CASE("where no budget is shared, the cold time is that of the settings") {
     peers::Start start;
     start.self = 0;
     start.routers = 12;
-    start.now = noon_at;
+    start.now = noon_us;
     for (bool links : {false, true}) {
         peers::Membership membership(start);
-        ExchangeOptions terms;
-        terms.settings = rig::shared_site();
-        terms.settings.ratings_are_links = links;
-        terms.features.quotas = !links;
-        terms.now = {noon_at, 1000 * second};
-        Exchange exchange(membership, terms);
-        CHECK(exchange.parent_cold() == terms.settings.parent_cold);
+        ExchangeOptions options;
+        options.settings = rig::shared_site();
+        options.settings.ratings_are_links = links;
+        options.features.quotas = !links;
+        options.now = {noon_us, 1000 * second};
+        Exchange exchange(membership, options);
+        CHECK(exchange.parent_cold() == options.settings.parent_cold);
     }
 }
 
-// ---- in the module
+// ---- routing module
 
-TEST_CASE("a cold server gets what the right allows, used up by what is sent") {
+TEST_CASE("a cold server gets at most what the quota allows") {
     auto module = router();
     auto entry_of = entry(11, 1, 0);
     entry_of.started = noon;
@@ -763,6 +765,6 @@
     CHECK(parent->wanted == work);
     parent->right = 99 * test_ms;
     CHECK(!within_cold_budget(module, *parent, work, noon + 1));
-    parent->right = -1;  // not shared: its own part of the whole
+    parent->right = -1;  // not shared: this router's own share of the budget
     CHECK(!within_cold_budget(module, *parent, 1000 * work, noon + 1));
 }
