--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -4,12 +4,12 @@
 // is not thread-safe.
 //
 //     Exchange exchange(membership, options);
-//     exchange.set_time(now);                                // before the membership reads its datagrams
-//     listing = exchange.apply_listing(listing, now);        // lists and purges of this router's own
-//     exchange.record_purge(notice, now);                    //   coordinator, before the routing module
-//     auto changes = exchange.tick(live_since, now);         // what else the routing module has to be told
+//     exchange.set_time(now);                          // before the membership reads its datagrams
+//     listing = exchange.apply_listing(listing, now);  // lists and purges of this router's own coordinator,
+//     exchange.record_purge(notice, now);              //   before the routing module gets them
+//     auto changes = exchange.tick(live_since, now);   // what else the routing module has to be told
 //
-//     server.right = exchange.available_quota(id, now);      // at the start of a turn, for cold_servers()
+//     auto quota = exchange.available_quota(id, now);           // at the start of a turn, for cold_servers()
 //     auto write_until = exchange.consume(id, work, tag, now);  // at its end, for what is to be sent
 //
 // Contract:
@@ -18,7 +18,7 @@
 //     and raises request counts by requests that others truly had.
 //   - The bounds of facts.hpp, quotas.hpp, health_reports.hpp and request_counts.hpp hold, also on memory.
 //   - It sends only through the membership, so within the membership's budget of bytes per second.
-//   - A payload that can't be decoded is dropped whole and counted; nothing throws because of it.
+//   - A payload that can't be decoded is dropped whole and counted.
 #pragma once
 
 #include <deque>
--- a/src/shared/facts.hpp
+++ b/src/shared/facts.hpp
@@ -25,7 +25,7 @@
 //     coordinator keeps what it received.
 //   - At most `max_facts` are held. Beyond that, facts from other routers are refused and counted.
 //
-// `now` and all durations are microseconds of Unix time. Not thread-safe. No I/O.
+// `now` is Unix time in microseconds; durations are microseconds. Not thread-safe. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -93,7 +93,7 @@
     // Whether there are facts that were sent fewer than three times.
     bool has_unsent() const;
     // The facts to send to router `to`, which count as sent. A fact that was first received from `to` is left
-    // out, and does not count.
+    // out up to three times, which does not count.
     std::vector<Fact> next_to_send(std::size_t max_count, Micros now, Number to = no_router);
     // Takes back that a fact was sent, as there was no room for it.
     void restore_unsent(const Fact& fact);
@@ -112,7 +112,7 @@
         Fact fact;
         bool own = false;                 // this router's own coordinator says so too
         bool lapsed = false;              // contradicted by this router's own list, which takes precedence
-        bool purge_pending = false;       // the routing module has not been told yet
+        bool purge_pending = false;       // a purge that the routing module has not been told yet
         Number first_sender = no_router;  // from whom it was first received; no_router: own coordinator
         int times_withheld = 0;           // datagrams to `first_sender` that left it out
         Micros updated_at = 0;
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -4,7 +4,7 @@
 //
 //     HealthReports reports;
 //     reports.receive(reporter, zone, trust, breadth, complaint, now);
-//     server.hearsay = reports.aggregate(id, start, now);
+//     auto health = reports.aggregate(id, start, now);
 //     reports.expire(now);    // at intervals
 //
 // For each server that is worse than its peers, a router reports how many samples it has (`max_samples` count
@@ -19,8 +19,8 @@
 //   - not at all where the server has been restarted since, by its start in the list;
 //   - not at all while it is the only complaint.
 //
-// At most `max_reports` complaints are held; more are refused and counted. `now` and all durations are
-// microseconds of Unix time. Not thread-safe. No I/O.
+// At most `max_reports` complaints are held; more are refused and counted. `now` is Unix time in
+// microseconds; durations are microseconds. Not thread-safe. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -41,8 +41,7 @@
     double samples = 0,       // how many the reporter has
         failure_share = 0,    // of the samples, 0 to 1
         slowdown = 0;         // how many times slower than its peers, 0: not slow
-    // Since the reporter last looked at its samples, when the complaint was sent. Samples are 5 s old at
-    // most.
+    // From when the reporter last looked at its samples to the sending. Samples are 5 s old at most.
     Micros age = 0;
     bool operator==(const Complaint&) const = default;
 };
