--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -121,7 +121,7 @@
     // Records that `work` is sent to the server, as one use under `tag`. Returns the time until which it has
     // to be written.
     Micros consume(CacheId id, double work, Micros tag, Micros now);
-    // Returns the part of the use under `tag` that is now known never to have reached the server.
+    // Gives back up to `work` of the use under `tag`, which is now known never to have reached the server.
     void refund(CacheId id, double work, Micros tag, Micros now);
     // Records work since the last call that found no quota; `lookup_work` is the work of one lookup.
     void record_unmet_demand(CacheId id, double work, double lookup_work, Micros now);
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -338,9 +338,9 @@
         REQUIRE(pair.borrower.available(pair.server, now) >= 0);
     }
     CHECK(pair.grantor.counters().leases_renewed > 2);
-    auto shares = pair.borrower.usage(pair.server, 4 * lease - 100 * ms);
-    CHECK(shares.borrowed >= 200'000);
-    CHECK(pair.grantor.usage(pair.server, 4 * lease - 100 * ms).lent >= shares.borrowed);
+    auto usage = pair.borrower.usage(pair.server, 4 * lease - 100 * ms);
+    CHECK(usage.borrowed >= 200'000);
+    CHECK(pair.grantor.usage(pair.server, 4 * lease - 100 * ms).lent >= usage.borrowed);
 }
 
 TEST_CASE("a refund goes to the use with the same tag") {
