--- a/src/launch/launch.cpp
+++ b/src/launch/launch.cpp
@@ -18,7 +18,7 @@
 using nlohmann::json;
 using site::Unusable;
 
-constexpr std::size_t most_neighbours = peers::most_routers;
+constexpr std::size_t most_neighbours = peers::max_routers;
 constexpr int other_descriptors = 24;  // log, listener, loop, signals, coordinator, and some to spare
 
 // Guards against amounts that no deployment has; only a kind that the site lacks is told as -1.
@@ -96,7 +96,7 @@
 }
 
 route::Site Launch::rule_site() const {
-    return {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.transmissions_cap};
+    return {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.max_attempts};
 }
 
 // Guards against clients that are let in by the limit that is told, while the system grants less: none would
--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -11,31 +11,34 @@
 constexpr std::size_t many_gone = 4096;
 constexpr Micros remembered = 600'000'000;
 
-int badness(Listed listed) { return listed == Listed::Gone ? 2 : listed == Listed::Draining ? 1 : 0; }
+int badness(EndpointState listed) {
+    return listed == EndpointState::Gone ? 2 : listed == EndpointState::Draining ? 1 : 0;
+}
 
 bool alike(const feed::Endpoint& a, const feed::Endpoint& b) {
-    return std::tie(a.address, a.port, a.entry.listed, a.entry.rating, a.entry.kind, a.entry.cell,
-                    a.entry.zone, a.entry.started) == std::tie(b.address, b.port, b.entry.listed,
-                                                               b.entry.rating, b.entry.kind, b.entry.cell,
-                                                               b.entry.zone, b.entry.started);
+    return std::tie(a.address, a.port, a.entry.state, a.entry.weight, a.entry.kind, a.entry.cell,
+                    a.entry.zone, a.entry.started_at) == std::tie(b.address, b.port, b.entry.state,
+                                                                  b.entry.weight, b.entry.kind, b.entry.cell,
+                                                                  b.entry.zone, b.entry.started_at);
 }
 
 }  // namespace
 
-Book::Book(const SiteFacts& facts, const std::vector<std::string>& zones, operate::Membership membership)
+MergedEndpoints::MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
+                                 operate::Membership membership)
     : zone(facts.zone),
       parent_kind(facts.parent_kind),
       origin_kind(facts.origin_kind),
       zones(zones),
       membership(membership) {}
 
-// Boxes of other locations are never asked, so the router is not told of them.
-bool Book::ours(const feed::Endpoint& endpoint) const {
+// Endpoints of other locations are never asked, so the router is not told of them.
+bool MergedEndpoints::ours(const feed::Endpoint& endpoint) const {
     return endpoint.entry.zone == zone || endpoint.entry.kind == parent_kind ||
            endpoint.entry.kind == origin_kind;
 }
 
-const feed::Endpoint* Book::in_stream(CacheId id) const {
+const feed::Endpoint* MergedEndpoints::in_stream(CacheId id) const {
     if (!boxes) return nullptr;
     auto at = std::lower_bound(boxes->begin(), boxes->end(), id,
                                [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
@@ -43,26 +46,26 @@
 }
 
 // What the router is to be told of one id; empty: it is no member.
-std::optional<feed::Endpoint> Book::member(CacheId id, const feed::Endpoint* streamed) const {
+std::optional<feed::Endpoint> MergedEndpoints::member(CacheId id, const feed::Endpoint* streamed) const {
     auto platform = listed.find(id);
     bool has = platform != listed.end();
     bool only_streamed = boxes && membership == operate::Membership::Streamed;
-    if (gone.contains(id) || (streamed && streamed->entry.listed == Listed::Gone)) return {};
+    if (gone.contains(id) || (streamed && streamed->entry.state == EndpointState::Gone)) return {};
     if (!streamed) return has && !only_streamed ? std::optional(platform->second) : std::nullopt;
     auto own = *streamed;
-    if (auto since = started.find(id); own.entry.started == 0 && since != started.end())
-        own.entry.started = since->second;
+    if (auto since = started.find(id); own.entry.started_at == 0 && since != started.end())
+        own.entry.started_at = since->second;
     if (!has) return own;
     auto made = only_streamed ? own : platform->second;
-    made.entry.started = std::max(own.entry.started, platform->second.entry.started);
-    if (badness(own.entry.listed) > badness(made.entry.listed)) made.entry.listed = own.entry.listed;
-    if (badness(platform->second.entry.listed) > badness(made.entry.listed))
-        made.entry.listed = platform->second.entry.listed;
+    made.entry.started_at = std::max(own.entry.started_at, platform->second.entry.started_at);
+    if (badness(own.entry.state) > badness(made.entry.state)) made.entry.state = own.entry.state;
+    if (badness(platform->second.entry.state) > badness(made.entry.state))
+        made.entry.state = platform->second.entry.state;
     return made;
 }
 
-void Book::compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
-                   feed::Listing& leaving) {
+void MergedEndpoints::compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
+                              feed::Listing& leaving) {
     auto now = member(id, streamed);
     if (now && !ours(*now)) now.reset();
     auto known = told.find(id);
@@ -71,20 +74,20 @@
         changes.caches.push_back(*now);
         told[id] = *now;
     } else if (known != told.end()) {
-        known->second.entry.listed = Listed::Gone;
+        known->second.entry.state = EndpointState::Gone;
         leaving.caches.push_back(known->second);
         told.erase(known);
     }
 }
 
-feed::Listing Book::joined(feed::Listing changes, feed::Listing leaving) {
+feed::Listing MergedEndpoints::joined(feed::Listing changes, feed::Listing leaving) {
     auto by_id = [](auto& a, auto& b) { return a.entry.id < b.entry.id; };
     std::sort(changes.caches.begin(), changes.caches.end(), by_id);
     changes.caches.insert(changes.caches.end(), leaving.caches.begin(), leaving.caches.end());
     return changes;
 }
 
-feed::Listing Book::platform(const feed::Listing& news, Micros now) {
+feed::Listing MergedEndpoints::update_from_coordinator(const feed::Listing& news, Micros now) {
     std::set<CacheId> touched;
     if (news.complete) {  // whoever is missing from it has gone
         for (auto& [id, endpoint] : listed) {
@@ -96,7 +99,7 @@
     for (auto& endpoint : news.caches) {
         auto id = endpoint.entry.id;
         touched.insert(id);
-        if (endpoint.entry.listed == Listed::Gone) {
+        if (endpoint.entry.state == EndpointState::Gone) {
             listed.erase(id);
             gone[id] = now;
         } else {
@@ -110,9 +113,9 @@
     return joined(std::move(changes), std::move(leaving));
 }
 
-feed::Listing Book::streamed(std::shared_ptr<const Boxes> next, Micros now) {
+feed::Listing MergedEndpoints::update_from_stream(std::shared_ptr<const Endpoints> next, Micros now) {
     auto before = std::exchange(boxes, std::move(next));
-    static const Boxes none;
+    static const Endpoints none;
     auto &old = before ? *before : none, &fresh = boxes ? *boxes : none;
     // The kind of membership begins and ends with a version in force, and then touches every box.
     bool all = membership == operate::Membership::Streamed && !before != !boxes;
@@ -128,7 +131,7 @@
         bool known = was != old.end() && was->entry.id == id;
         bool moved = known && (was->address != box->address || was->port != box->port);
         bool listed_so = listed.contains(id);
-        if (box->entry.started == 0 && (moved || (before && !known && !listed_so))) started[id] = now;
+        if (box->entry.started_at == 0 && (moved || (before && !known && !listed_so))) started[id] = now;
         if (!known || moved || !alike(*was, *box) || all) compare(id, &*box, changes, leaving);
         if (known) ++was;
     }
@@ -141,20 +144,20 @@
     return joined(std::move(changes), std::move(leaving));
 }
 
-Starts Book::starts_since(Micros now, Micros span) const {
-    Starts late;
+StartTimes MergedEndpoints::start_times_since(Micros now, Micros span) const {
+    StartTimes late;
     for (auto& [id, at] : started)
         if (now - at < span) late.emplace_back(id, at);
     return late;
 }
 
-void Book::remember(const Starts& starts) {
+void MergedEndpoints::restore_start_times(const StartTimes& starts) {
     for (auto& [id, at] : starts) started[id] = at;
 }
 
 // Guards against memory that grows as caches come and go under ever new ids. What a version in force still
 // names is never forgotten: it would come back as ready.
-void Book::forget_old(Micros now) {
+void MergedEndpoints::forget_old(Micros now) {
     if (gone.size() <= many_gone) return;
     std::erase_if(gone, [&](auto& one) { return now - one.second > remembered && !in_stream(one.first); });
     while (gone.size() > 2 * many_gone) {
@@ -167,21 +170,22 @@
     }
 }
 
-int Book::role(const feed::Endpoint& endpoint) const {
+int MergedEndpoints::role(const feed::Endpoint& endpoint) const {
     if (endpoint.entry.kind == origin_kind) return -2;
     return endpoint.entry.kind == parent_kind ? -1 : endpoint.entry.zone;
 }
 
-std::optional<std::string> Book::would_empty(const Boxes& next, const std::vector<int>& emptied) const {
+std::optional<std::string> MergedEndpoints::describe_unserved(const Endpoints& next,
+                                                              const std::vector<int>& emptied) const {
     bool streamed_only = membership == operate::Membership::Streamed;
     std::map<int, int> before, after;  // ready servers: by zone, of parents (-1), of the origin (-2)
     auto count = [&](std::map<int, int>& into, const feed::Endpoint& box) {
-        bool ready = box.entry.listed == Listed::Ready && !gone.contains(box.entry.id);
+        bool ready = box.entry.state == EndpointState::Ready && !gone.contains(box.entry.id);
         auto platform = listed.find(box.entry.id);
-        if (platform != listed.end() && platform->second.entry.listed != Listed::Ready) ready = false;
+        if (platform != listed.end() && platform->second.entry.state != EndpointState::Ready) ready = false;
         if (ready) into[role(box)]++;
     };
-    auto named = [](const Boxes& list, CacheId id) {
+    auto named = [](const Endpoints& list, CacheId id) {
         auto at = std::lower_bound(list.begin(), list.end(), id,
                                    [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
         return at != list.end() && at->entry.id == id;
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -10,12 +10,13 @@
 
 constexpr Micros say_every = 10'000'000;
 
-shared::ExchangeOptions terms_of(const operate::Sharing& plan, const launch::Launch& launch, Clock& clock) {
+shared::ExchangeOptions terms_of(const operate::SharedStateConfig& plan, const launch::Launch& launch,
+                                 Clock& clock) {
     shared::ExchangeOptions terms;
-    terms.features = {plan.facts, plan.quotas, plan.judgements, plan.counts};
-    terms.settings = static_cast<const Bounds&>(launch.facts);
-    terms.grantors = plan.owners;
-    terms.lease_duration = plan.lease;
+    terms.features = {plan.facts, plan.quotas, plan.health_reports, plan.counts};
+    terms.settings = static_cast<const RoutingSettings&>(launch.facts);
+    terms.grantors = plan.lease_grantors;
+    terms.lease_duration = plan.lease_duration;
     terms.now = {clock.now(), Clock::steady()};
     // New with each start, so that no answer to an earlier life's ask is taken for one to this one's.
     terms.seed = static_cast<std::uint32_t>(launch.seed ^ (launch.seed >> 32)) ^
@@ -25,16 +26,16 @@
 
 }  // namespace
 
-Sharing::Sharing(PeerPort& peers, const operate::Sharing& plan, const launch::Launch& launch, Clock& clock,
-                 Turn& turn)
+Sharing::Sharing(PeerPort& peers, const operate::SharedStateConfig& plan, const launch::Launch& launch,
+                 Clock& clock, Turn& turn)
     : turn(turn), exchange(peers.membership(), terms_of(plan, launch, clock)) {
     turn.share(&exchange);
     std::string parts;
     for (auto& [on, name] : {std::pair(plan.facts, "facts"), std::pair(plan.quotas, "rights"),
-                             std::pair(plan.judgements, "judgements"), std::pair(plan.counts, "counts")})
+                             std::pair(plan.health_reports, "judgements"), std::pair(plan.counts, "counts")})
         if (on) parts += std::string(parts.empty() ? "" : ", ") + name;
     log::info("shared: {}", parts.empty() ? "nothing" : parts);
-    if (plan.quotas && !launch.facts.ratings_are_links)
+    if (plan.quotas && !launch.facts.weights_are_link_rates)
         log::warning("shared: the settings state no links, so each router goes by its own cold budgets");
 }
 
@@ -61,8 +62,8 @@
 void Sharing::say(const shared::ReplicatedFacts::Changes& changes, Micros now) {
     for (auto& endpoint : changes.listing.caches)
         log::info("shared: cache {} {}", endpoint.entry.id,
-                  endpoint.entry.listed == Listed::Ready ? "is open again, as the own list has it"
-                                                         : "is closed, as others have heard");
+                  endpoint.entry.state == EndpointState::Ready ? "is open again, as the own list has it"
+                                                               : "is closed, as others have heard");
     for (auto id : changes.reopened) log::info("shared: cache {} is open again, it was started anew", id);
     if (!changes.purges.empty()) log::info("shared: {} purges heard from others", changes.purges.size());
     if (now < say_at) return;
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -21,12 +21,13 @@
 constexpr Micros max_clock_lead = 250 * ms;
 constexpr double counts_datagram_bytes = 120;  // approximately
 
-QuotaOptions quota_options(const peers::Membership& membership, const ExchangeOptions& options, Number self) {
+QuotaOptions quota_options(const peers::Membership& membership, const ExchangeOptions& options,
+                           RouterIndex self) {
     QuotaOptions made;
     made.self = self;
     made.routers = membership.routers();
     made.grantors = options.grantors;
-    made.window = options.settings.cold_window;
+    made.window = options.settings.cold_budget_window;
     made.lease_duration = options.lease_duration;
     made.seed = options.seed;
     made.now = options.now.steady;
@@ -40,13 +41,13 @@
                                static_cast<double>(membership.routers()),
                                static_cast<double>(options.grantors),
                                static_cast<double>(options.lease_duration),
-                               settings.cold_from,
-                               settings.cold_multiple,
-                               settings.parent_cold_from,
-                               settings.parent_multiple,
-                               static_cast<double>(settings.cold),
-                               static_cast<double>(settings.cold_window),
-                               static_cast<double>(settings.parent_cold)};
+                               settings.cold_initial_share,
+                               settings.cold_budget_multiple,
+                               settings.parent_cold_initial_share,
+                               settings.parent_cold_budget_multiple,
+                               static_cast<double>(settings.cold_period),
+                               static_cast<double>(settings.cold_budget_window),
+                               static_cast<double>(settings.parent_cold_period)};
     return std::max(1U, XXH32(values.data(), sizeof values, 0));
 }
 
@@ -56,27 +57,28 @@
     : membership(membership),
       options(options),
       configuration_hash(hash_configuration(membership, options)),
-      facts(options.settings.purge_done, membership.routers()),
-      quotas(quota_options(membership, options, membership.number_of_self())),
-      request_counts(membership.number_of_self(), membership.routers()),
+      facts(options.settings.purge_retention, membership.routers()),
+      quotas(quota_options(membership, options, membership.own_number())),
+      request_counts(membership.own_number(), membership.routers()),
       digest_differs(static_cast<std::size_t>(membership.routers())),
       current_time(options.now) {
-    membership.carry(this);
+    membership.set_piggyback(this);
 }
 
-Exchange::~Exchange() { membership.carry(nullptr); }
+Exchange::~Exchange() { membership.set_piggyback(nullptr); }
 
 // ---- receiving
 
-void Exchange::unload(Number from, Life life, std::string_view bytes, Micros /*now*/) {
+void Exchange::unload(RouterIndex from, Generation generation, std::string_view bytes, Micros /*now*/) {
     auto payload = decode(bytes, current_time.unix);
     if (payload)
-        apply_payload(from, life, *payload, current_time);
+        apply_payload(from, generation, *payload, current_time);
     else
         totals.malformed++;
 }
 
-void Exchange::apply_payload(Number from, Life life, const Payload& payload, const ClockReadings& now) {
+void Exchange::apply_payload(RouterIndex from, Generation generation, const Payload& payload,
+                             const ClockReadings& now) {
     if (options.features.facts) {
         for (auto& fact : payload.facts) totals.facts_received += facts.receive(fact, now.unix, from);
         if (payload.digest != facts.digest(now.unix)) digest_differs[static_cast<std::size_t>(from)] = true;
@@ -90,13 +92,13 @@
             mismatch_seen_at = now.steady;
         }
         if (matches)
-            for (auto& ask : payload.asks) quotas.handle_ask(from, life, ask, now.steady);
+            for (auto& ask : payload.asks) quotas.handle_ask(from, generation, ask, now.steady);
         if (matches)
             for (auto& grant : payload.grants) quotas.handle_grant(from, grant, now.steady);
     }
     if (options.features.health_reports && !payload.complaints.empty()) {
         auto view = membership.view(from, now.unix);
-        double trust = view.state == peers::State::Alive && !view.ill ? 1 : 0.25;
+        double trust = view.state == peers::State::Alive && !view.unhealthy ? 1 : 0.25;
         for (auto& complaint : payload.complaints) {
             health_reports.receive(from, view.zone, trust, payload.breadth, complaint, now.unix);
             totals.complaints_received++;
@@ -110,15 +112,15 @@
 
 feed::Listing Exchange::apply_listing(feed::Listing listing, const ClockReadings& now) {
     current_time = now;
-    if (options.features.quotas && options.settings.ratings_are_links) {
+    if (options.features.quotas && options.settings.weights_are_link_rates) {
         // Parents only: all routers share them, so the share of one router is small. The caches of a location
         // are shared by few routers. Their shares are one lookup or more, and grow with the answers that a
         // router sees, so that pooled budgets were used less (docs/results.md).
         if (listing.complete) cold_parents.clear();
         for (auto& endpoint : listing.caches) {
             auto& entry = endpoint.entry;
-            bool warm = entry.started <= 0 || now.unix >= entry.started + parent_cold();
-            if (!is_parent(entry) || entry.listed == Listed::Gone || warm)
+            bool warm = entry.started_at <= 0 || now.unix >= entry.started_at + parent_cold();
+            if (!is_parent(entry) || entry.state == EndpointState::Gone || warm)
                 cold_parents.erase(entry.id);
             else
                 cold_parents[entry.id] = entry;
@@ -137,17 +139,17 @@
         std::vector<ColdServer> cold;
         std::erase_if(cold_parents, [&](auto& known) {
             auto& entry = known.second;
-            auto age = now.unix - entry.started;
+            auto age = now.unix - entry.started_at;
             if (age >= parent_cold()) return true;
             // The budget at the end of a window, as what is used now counts against all of the window
             // before that moment.
-            auto age_at_window_end = age + options.settings.cold_window - max_clock_lead;
-            cold.push_back({entry.id, static_cast<std::uint64_t>(entry.started / ms),
-                            whole_cold_budget(options.settings, true, entry.rating, age_at_window_end)});
+            auto age_at_window_end = age + options.settings.cold_budget_window - max_clock_lead;
+            cold.push_back({entry.id, static_cast<std::uint64_t>(entry.started_at / ms),
+                            total_cold_budget(options.settings, true, entry.weight, age_at_window_end)});
             return false;
         });
         quotas.set_cold_servers(cold, now.steady);
-        auto is_reachable = [&](Number router) {
+        auto is_reachable = [&](RouterIndex router) {
             auto state = membership.state(router);
             return state == peers::State::Alive || state == peers::State::Suspected;
         };
@@ -166,15 +168,15 @@
     // one.
     for (auto queued = outbox.begin(); queued != outbox.end();) {
         bool empty = queued->second.asks.empty() && queued->second.grants.empty();
-        if (!empty) membership.tell(queued->first, true, now.unix);
+        if (!empty) membership.send_piggyback(queued->first, true, now.unix);
         empty = queued->second.asks.empty() && queued->second.grants.empty();
         bool expired = now.steady - queued->second.queued_at >= outbox_timeout;
         queued = empty || expired ? outbox.erase(queued) : std::next(queued);
     }
     send_facts(now);
     if (options.features.request_counts && !facts_await_bytes && now.unix >= next_counts_datagram_at &&
-        membership.spare(now.unix) > counts_datagram_bytes && request_counts.has_unsent()) {
-        membership.tell(1, membership.own_zone(), false, now.unix);
+        membership.spare_bytes(now.unix) > counts_datagram_bytes && request_counts.has_unsent()) {
+        membership.send_piggyback(1, membership.own_zone(), false, now.unix);
         next_counts_datagram_at = now.unix + counts_interval;
     }
     if (now.unix >= next_expiry_at) {
@@ -190,7 +192,7 @@
     facts_await_bytes = false;
     if (!options.features.facts) return;
     if (facts.has_unsent()) {
-        facts_await_bytes = !membership.tell(3, -1, true, now.unix);
+        facts_await_bytes = !membership.send_piggyback(3, -1, true, now.unix);
         return;
     }
     // Anti-entropy. Guards against a router that never receives a fact because those that hold it use up
@@ -199,10 +201,10 @@
     if (now.unix < next_repair_at) return;
     auto differing = std::find(digest_differs.begin(), digest_differs.end(), true);
     if (differing == digest_differs.end()) return;
-    auto router = static_cast<Number>(differing - digest_differs.begin());
+    auto router = static_cast<RouterIndex>(differing - digest_differs.begin());
     if (membership.state(router) != peers::State::Alive)
         *differing = false;  // its next datagram sets the flag again
-    else if (membership.insist(router, now.unix))
+    else if (membership.send_piggyback_or_reserve(router, now.unix))
         next_repair_at = now.unix + repair_interval;
     else
         facts_await_bytes = true;
@@ -213,8 +215,8 @@
 // Guards against a router whose clock is ahead: its cold time would end early, and what it sends until the
 // true end would not be bounded.
 Micros Exchange::parent_cold() const {
-    bool shared = options.features.quotas && options.settings.ratings_are_links;
-    return options.settings.parent_cold + (shared ? max_clock_lead : 0);
+    bool shared = options.features.quotas && options.settings.weights_are_link_rates;
+    return options.settings.parent_cold_period + (shared ? max_clock_lead : 0);
 }
 
 std::vector<CacheId> Exchange::cold_servers() const {
@@ -242,7 +244,7 @@
 
 // ---- peer health reports
 
-void Exchange::report_health(const std::vector<Testimony>& own_complaints, int measured,
+void Exchange::report_health(const std::vector<HealthReport>& own_complaints, int measured,
                              const ClockReadings& now) {
     if (!options.features.health_reports) return;
     bool has_new = false;
@@ -251,14 +253,14 @@
                                 [&](auto& known) { return known.server == own.server; });
     complaints.clear();
     for (auto& own : own_complaints)
-        complaints.push_back(
-            {own.server, static_cast<std::uint32_t>(own.started / ms), own.samples, own.bad, own.slow, 0});
+        complaints.push_back({own.server, static_cast<std::uint32_t>(own.started_at / ms), own.samples,
+                              own.failure_share, own.slowdown, 0});
     breadth = {measured, static_cast<int>(own_complaints.size())};
     complaints_updated_at = now.unix;
-    if (has_new) membership.tell(3, membership.own_zone(), true, now.unix);
+    if (has_new) membership.send_piggyback(3, membership.own_zone(), true, now.unix);
 }
 
-Hearsay Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
+PeerHealthReport Exchange::peer_health(CacheId server, Micros started, const ClockReadings& now) const {
     return health_reports.aggregate(server, static_cast<std::uint64_t>(started / ms), now.unix);
 }
 
@@ -271,8 +273,8 @@
 int Exchange::alive_routers_in_zone() const {
     if (!options.features.request_counts) return 1;
     int count = 1;
-    for (Number router = 0; router < membership.routers(); router++)
-        if (router != membership.number_of_self() && membership.state(router) == peers::State::Alive &&
+    for (RouterIndex router = 0; router < membership.routers(); router++)
+        if (router != membership.own_number() && membership.state(router) == peers::State::Alive &&
             membership.zone_of(router) == membership.own_zone())
             count++;
     return count;
@@ -280,7 +282,7 @@
 
 // ---- sending
 
-std::string Exchange::load(Number to, std::size_t room, Micros now) {
+std::string Exchange::load(RouterIndex to, std::size_t room, Micros now) {
     Payload payload;
     payload.configuration_hash = options.features.quotas ? configuration_hash : 0;
     payload.digest = options.features.facts ? facts.digest(now) : 0;
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -45,7 +45,7 @@
 
 struct ExchangeOptions {
     Features features{};
-    Bounds settings{};
+    RoutingSettings settings{};
     int grantors = 4;  // see QuotaOptions
     Micros lease_duration = 3'000'000;
     std::uint32_t seed = 1;
@@ -86,9 +86,10 @@
 
     // Replaces the complaints that this router has about servers. `measured`: how many servers it has
     // measured lately.
-    void report_health(const std::vector<Testimony>& own_complaints, int measured, const ClockReadings& now);
+    void report_health(const std::vector<HealthReport>& own_complaints, int measured,
+                       const ClockReadings& now);
     // What other routers report of the process of the server that started at `started`.
-    Hearsay peer_health(CacheId server, Micros started, const ClockReadings& now) const;
+    PeerHealthReport peer_health(CacheId server, Micros started, const ClockReadings& now) const;
     std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
     // Counts a request for the first part of an object. Returns how many other routers of the location are
@@ -97,8 +98,8 @@
     // The routers of the location that are alive, this one included; 1 where request counts are not shared.
     int alive_routers_in_zone() const;
 
-    std::string load(Number to, std::size_t room, Micros now) override;
-    void unload(Number from, Life life, std::string_view bytes, Micros now) override;
+    std::string load(RouterIndex to, std::size_t room, Micros now) override;
+    void unload(RouterIndex from, Generation generation, std::string_view bytes, Micros now) override;
 
     struct Counters {
         std::uint64_t malformed = 0, configuration_mismatches = 0, facts_received = 0, counts_received = 0,
@@ -121,9 +122,10 @@
         std::vector<Grant> grants;
         Micros queued_at = 0;
     };
-    void apply_payload(Number from, Life life, const Payload& payload, const ClockReadings& now);
+    void apply_payload(RouterIndex from, Generation generation, const Payload& payload,
+                       const ClockReadings& now);
     void send_facts(const ClockReadings& now);
-    bool is_parent(const ListEntry& entry) const { return entry.kind == options.settings.parent_kind; }
+    bool is_parent(const EndpointEntry& entry) const { return entry.kind == options.settings.parent_kind; }
 
     peers::Membership& membership;
     ExchangeOptions options;
@@ -132,14 +134,14 @@
     Quotas quotas;
     HealthReports health_reports;
     RequestCounts request_counts;
-    std::map<CacheId, ListEntry> cold_parents;
+    std::map<CacheId, EndpointEntry> cold_parents;
     std::map<CacheId, int> zones;  // of the servers complained of
     std::vector<Complaint> complaints;
     Breadth breadth;
     Micros complaints_updated_at = 0, next_counts_datagram_at = 0, next_repair_at = 0, next_expiry_at = 0,
            mismatch_seen_at = 0;
     std::size_t complaint_cursor = 0;
-    std::map<Number, OutgoingMessages> outbox;
+    std::map<RouterIndex, OutgoingMessages> outbox;
     std::vector<bool> digest_differs;  // by router: its facts differ from this router's
     bool facts_await_bytes = false;    // facts are to be sent, and bytes are being saved up for them
     ClockReadings current_time{};
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -36,18 +36,19 @@
     for (auto& endpoint : listing.caches) {
         auto& entry = endpoint.entry;
         listed_ids.insert(entry.id);
-        learn(entry.id, to_ms(entry.started), entry.listed, now);
-        if (entry.listed == Listed::Gone) {
+        learn(entry.id, to_ms(entry.started_at), entry.state, now);
+        if (entry.state == EndpointState::Gone) {
             servers.erase(entry.id);
             continue;
         }
         auto previous = servers.find(entry.id);
-        bool closed = previous != servers.end() && previous->second.endpoint.entry.listed == Listed::Ready &&
-                      previous->second.reported != Listed::Ready;
+        bool closed = previous != servers.end() &&
+                      previous->second.endpoint.entry.state == EndpointState::Ready &&
+                      previous->second.reported != EndpointState::Ready;
         auto& server = servers[entry.id];
         server.endpoint = endpoint;
-        entry.listed = server.reported = effective_state(server, coordinator_live_since, now);
-        if (closed && entry.listed == Listed::Ready && reopened.size() < max_facts)
+        entry.state = server.reported = effective_state(server, coordinator_live_since, now);
+        if (closed && entry.state == EndpointState::Ready && reopened.size() < max_facts)
             reopened.push_back(entry.id);
     }
     if (!listing.complete) return listing;
@@ -56,15 +57,15 @@
             server++;
             continue;
         }
-        learn(server->first, to_ms(server->second.endpoint.entry.started), Listed::Gone, now);
+        learn(server->first, to_ms(server->second.endpoint.entry.started_at), EndpointState::Gone, now);
         server = servers.erase(server);
     }
     return listing;
 }
 
-void ReplicatedFacts::learn(CacheId id, std::uint64_t start, Listed listed, Micros now) {
+void ReplicatedFacts::learn(CacheId id, std::uint64_t start, EndpointState listed, Micros now) {
     auto found = records.find({FactSubject::Server, id});
-    if (listed == Listed::Ready) {
+    if (listed == EndpointState::Ready) {
         // The coordinator has taken back what it said, so the fact lapses on this router.
         if (found != records.end() && found->second.own && found->second.fact.time <= start) {
             found->second.own = false;
@@ -74,7 +75,7 @@
         return;
     }
     // The first list after a start may hold drains and ends from long ago, which other routers hold already.
-    insert_or_update({FactSubject::Server, id, start, listed == Listed::Gone, to_ms(now)}, true, now);
+    insert_or_update({FactSubject::Server, id, start, listed == EndpointState::Gone, to_ms(now)}, true, now);
 }
 
 void ReplicatedFacts::record_purge(const feed::PurgeNotice& notice, Micros now) {
@@ -85,7 +86,7 @@
 
 // ---- from other routers
 
-bool ReplicatedFacts::receive(const Fact& fact, Micros now, Number from) {
+bool ReplicatedFacts::receive(const Fact& fact, Micros now, RouterIndex from) {
     if (fact.subject != FactSubject::Server && fact.time > to_ms(now + max_clock_skew)) return false;
     auto* record = insert_or_update(fact, false, now);
     if (!record) return false;
@@ -176,33 +177,33 @@
 // Whether no other server of the same kind and location is open.
 bool ReplicatedFacts::is_last_of_its_role(const ListedServer& server) const {
     for (auto& [id, other] : servers)
-        if (id != server.endpoint.entry.id && other.reported == Listed::Ready &&
+        if (id != server.endpoint.entry.id && other.reported == EndpointState::Ready &&
             other.endpoint.entry.kind == server.endpoint.entry.kind &&
             other.endpoint.entry.zone == server.endpoint.entry.zone)
             return false;
     return true;
 }
 
-Listed ReplicatedFacts::effective_state(const ListedServer& server, Micros live_since, Micros now) {
+EndpointState ReplicatedFacts::effective_state(const ListedServer& server, Micros live_since, Micros now) {
     auto& entry = server.endpoint.entry;
-    if (entry.listed != Listed::Ready) return entry.listed;
+    if (entry.state != EndpointState::Ready) return entry.state;
     auto found = records.find({FactSubject::Server, entry.id});
-    if (found == records.end()) return entry.listed;
+    if (found == records.end()) return entry.state;
     auto& record = found->second;
     // A fact about an earlier process of the server does not apply to this one.
-    if (record.fact.time < to_ms(entry.started)) return entry.listed;
-    if (record.own) return entry.listed;  // the list that says ready is the newer one
+    if (record.fact.time < to_ms(entry.started_at)) return entry.state;
+    if (record.own) return entry.state;  // the list that says ready is the newer one
     if (!record.lapsed) {
         Micros contradicted_since = std::max(record.updated_at, live_since);
         bool disconnected = live_since == 0;
         if (!disconnected && now - contradicted_since >= contradiction_timeout) record.lapsed = true;
     }
-    if (record.lapsed) return entry.listed;
+    if (record.lapsed) return entry.state;
     // The last open server of a location is closed by other routers' reports only while this router does not
     // hear its own coordinator.
-    if (live_since > 0 && server.reported == Listed::Ready && is_last_of_its_role(server))
-        return entry.listed;
-    return Listed::Draining;
+    if (live_since > 0 && server.reported == EndpointState::Ready && is_last_of_its_role(server))
+        return entry.state;
+    return EndpointState::Draining;
 }
 
 ReplicatedFacts::Changes ReplicatedFacts::tick(Micros live_since, Micros now) {
@@ -212,10 +213,10 @@
     for (auto& [id, server] : servers) {
         auto state = effective_state(server, live_since, now);
         if (state == server.reported) continue;
-        (state == Listed::Ready ? changes.opened : changes.closed)++;
+        (state == EndpointState::Ready ? changes.opened : changes.closed)++;
         server.reported = state;
         changes.listing.caches.push_back(server.endpoint);
-        changes.listing.caches.back().entry.listed = state;
+        changes.listing.caches.back().entry.state = state;
     }
     for (auto& key : std::exchange(pending_purges, {})) {
         auto found = records.find(key);
@@ -241,7 +242,7 @@
 
 // Runs for each datagram. The ordered queue guards against a cost that grows with the number of queued facts,
 // as a burst of purges fills the queue.
-std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, Number to) {
+std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, RouterIndex to) {
     std::vector<Fact> facts;
     std::vector<Key> taken;
     while (taken.size() < max_count && !send_queue.empty()) {
--- a/src/shared/facts.hpp
+++ b/src/shared/facts.hpp
@@ -42,7 +42,7 @@
 
 namespace quillgrade::shared {
 
-using peers::Number;
+using peers::RouterIndex;
 
 // The values are part of digest(), which routers compare. Servers sort before purges.
 enum class FactSubject : std::uint8_t { Server, Object, Group };
@@ -68,7 +68,7 @@
     ReplicatedFacts(Micros purge_done, int routers);
 
     static constexpr std::size_t max_facts = 2048;
-    static constexpr Number no_router = -1;
+    static constexpr RouterIndex no_router = -1;
     // Longer than the 7 s after which an announcement is in force, whether it has arrived or not.
     static constexpr Micros contradiction_timeout = 8'000'000;
     static constexpr Micros gossip_lifetime = 60'000'000;  // since the fact was first heard
@@ -79,7 +79,7 @@
     feed::Listing apply_listing(feed::Listing listing, Micros now);
     void record_purge(const feed::PurgeNotice& notice, Micros now);
     // Takes a fact from another router, `from`. Returns true where it is new.
-    bool receive(const Fact& fact, Micros now, Number from = no_router);
+    bool receive(const Fact& fact, Micros now, RouterIndex from = no_router);
     // What has changed for the routing module since the last call.
     struct Changes {
         feed::Listing listing;  // servers that are closed, or open again
@@ -94,7 +94,7 @@
     bool has_unsent() const;
     // The facts to send to router `to`, which count as sent. A fact that was first received from `to` is left
     // out up to three times, which does not count.
-    std::vector<Fact> next_to_send(std::size_t max_count, Micros now, Number to = no_router);
+    std::vector<Fact> next_to_send(std::size_t max_count, Micros now, RouterIndex to = no_router);
     // Takes back that a fact was sent, as there was no room for it.
     void restore_unsent(const Fact& fact);
     // A hash of all facts that every router should hold by now, for anti-entropy.
@@ -110,11 +110,11 @@
     using Key = std::pair<FactSubject, std::uint64_t>;
     struct Record {
         Fact fact;
-        bool own = false;                 // this router's own coordinator says so too
-        bool lapsed = false;              // contradicted by this router's own list, which takes precedence
-        bool purge_pending = false;       // a purge that the routing module has not been told yet
-        Number first_sender = no_router;  // from whom it was first received; no_router: own coordinator
-        int times_withheld = 0;           // datagrams to `first_sender` that left it out
+        bool own = false;            // this router's own coordinator says so too
+        bool lapsed = false;         // contradicted by this router's own list, which takes precedence
+        bool purge_pending = false;  // a purge that the routing module has not been told yet
+        RouterIndex first_sender = no_router;  // from whom it was first received; no_router: own coordinator
+        int times_withheld = 0;                // datagrams to `first_sender` that left it out
         Micros updated_at = 0;
         int sends_left = 0;          // above 0 it is in `send_queue`
         std::uint64_t sequence = 0;  // grows with each update of any record
@@ -132,7 +132,7 @@
     using Iterator = std::map<Key, Record>::iterator;
     struct ListedServer {
         feed::Endpoint endpoint;  // as in this router's own list
-        Listed reported;          // as the routing module was told last
+        EndpointState reported;   // as the routing module was told last
     };
     Record* insert_or_update(const Fact& received, bool own, Micros now);
     void set_sends_left(const Key& key, Record& record, int sends_left);  // updates `send_queue` too
@@ -142,8 +142,8 @@
     Iterator erase(Iterator position);
     void erase_expired(Micros now);
     std::uint64_t expiry_ms(const Fact& purge) const;  // Unix milliseconds
-    void learn(CacheId id, std::uint64_t start, Listed listed, Micros now);
-    Listed effective_state(const ListedServer& server, Micros live_since, Micros now);
+    void learn(CacheId id, std::uint64_t start, EndpointState listed, Micros now);
+    EndpointState effective_state(const ListedServer& server, Micros live_since, Micros now);
     bool is_last_of_its_role(const ListedServer& server) const;
     static bool is_current(const Record& record, Micros now);
 
--- a/src/shared/health_reports.cpp
+++ b/src/shared/health_reports.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void HealthReports::receive(Number reporter, int zone, double trust, const Breadth& breadth,
+void HealthReports::receive(RouterIndex reporter, int zone, double trust, const Breadth& breadth,
                             const Complaint& complaint, Micros now) {
     if (complaint.age >= report_lifetime || !(complaint.samples > 0)) return;
     auto by_reporter = reports.find(complaint.server);
@@ -28,7 +28,7 @@
         reporter, StoredReport{complaint, now - complaint.age, zone, trust, doubted});
 }
 
-Hearsay HealthReports::aggregate(CacheId server, std::uint64_t start, Micros now) const {
+PeerHealthReport HealthReports::aggregate(CacheId server, std::uint64_t start, Micros now) const {
     auto by_reporter = reports.find(server);
     if (by_reporter == reports.end()) return {};
     std::vector<const StoredReport*> trusted, doubted;
@@ -43,7 +43,7 @@
     // The newest first, as the first complaint of a zone weighs most.
     std::sort(trusted.begin(), trusted.end(), [](auto* a, auto* b) { return a->sampled_at > b->sampled_at; });
     std::map<int, double> zone_weights;
-    Hearsay combined;
+    PeerHealthReport combined;
     std::vector<std::pair<double, double>> slowdowns;  // each with its weight
     double slowdown_weight = 0;
     for (auto* report : trusted) {
@@ -54,18 +54,18 @@
         zone->second = std::max(min_zone_weight, zone->second / 2);
         auto samples = std::min(report->complaint.samples, max_samples) * weight;
         combined.samples += samples;
-        combined.bad += samples * std::clamp(report->complaint.failure_share, 0.0, 1.0);
+        combined.failure_share += samples * std::clamp(report->complaint.failure_share, 0.0, 1.0);
         if (report->complaint.slowdown > 0) slowdowns.emplace_back(report->complaint.slowdown, samples);
         slowdown_weight += report->complaint.slowdown > 0 ? samples : 0;
     }
-    if (combined.samples > 0) combined.bad /= combined.samples;
+    if (combined.samples > 0) combined.failure_share /= combined.samples;
     // The weighted median, so that a single reporter can't set it to any value.
     std::sort(slowdowns.begin(), slowdowns.end());
     double cumulative = 0;
     for (auto& [value, weight] : slowdowns) {
         cumulative += weight;
         if (cumulative * 2 >= slowdown_weight) {
-            combined.slow = value;
+            combined.slowdown = value;
             break;
         }
     }
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -32,8 +32,8 @@
 
 namespace quillgrade::shared {
 
-using peers::Life;
-using peers::Number;
+using peers::Generation;
+using peers::RouterIndex;
 
 struct Complaint {
     CacheId server = 0;
@@ -57,10 +57,10 @@
     static constexpr std::size_t max_reports = 1024;
 
     // Replaces the reporter's complaint about the same server. `trust`: the weight of the reporter, 0 to 1.
-    void receive(Number reporter, int zone, double trust, const Breadth& breadth, const Complaint& complaint,
-                 Micros now);
+    void receive(RouterIndex reporter, int zone, double trust, const Breadth& breadth,
+                 const Complaint& complaint, Micros now);
     // The combined report on the server's process with this start; no samples where it is not conclusive.
-    Hearsay aggregate(CacheId server, std::uint64_t start, Micros now) const;
+    PeerHealthReport aggregate(CacheId server, std::uint64_t start, Micros now) const;
     // The servers with any complaint.
     std::vector<CacheId> reported_servers() const;
     void expire(Micros now);
@@ -75,7 +75,7 @@
         double trust;
         bool doubted;  // the reporter complains of most of its servers
     };
-    std::map<CacheId, std::map<Number, StoredReport>> reports;
+    std::map<CacheId, std::map<RouterIndex, StoredReport>> reports;
     std::size_t report_count = 0;
     std::uint64_t refused_count = 0;
 };
--- a/src/shared/quotas.cpp
+++ b/src/shared/quotas.cpp
@@ -23,13 +23,13 @@
 
 // Drawn by hash, so that servers of one kind that start together have different grantors. With as many
 // grantors as routers, every router always has its own share.
-std::vector<Number> Quotas::grantors_of(CacheId server, std::uint64_t start) const {
+std::vector<RouterIndex> Quotas::grantors_of(CacheId server, std::uint64_t start) const {
     auto count = std::min(options.grantors, options.routers);
-    std::vector<Number> drawn;
+    std::vector<RouterIndex> drawn;
     for (int i = 0; i < count; i++) {
         const std::array<std::uint64_t, 3> words = {server, start, static_cast<std::uint64_t>(i)};
-        auto candidate = static_cast<Number>(XXH64(words.data(), sizeof words, 0) %
-                                             static_cast<std::uint64_t>(options.routers));
+        auto candidate = static_cast<RouterIndex>(XXH64(words.data(), sizeof words, 0) %
+                                                  static_cast<std::uint64_t>(options.routers));
         while (std::find(drawn.begin(), drawn.end(), candidate) != drawn.end())
             candidate = (candidate + 1) % options.routers;
         drawn.push_back(candidate);
@@ -175,14 +175,14 @@
         }
         for (auto& lease : server.granted_leases)
             if (now < lease.blocked_until) {
-                into.insert(into.end(), {-2, lease.borrower, static_cast<std::int64_t>(lease.life),
+                into.insert(into.end(), {-2, lease.borrower, static_cast<std::int64_t>(lease.generation),
                                          renumber(lease.lease_number)});
                 amount(lease.amount);
                 length(lease.blocked_until);
             }
         for (auto& queued : server.queued_asks)
             if (now < queued.expires) {
-                into.insert(into.end(), {-3, queued.from, static_cast<std::int64_t>(queued.life),
+                into.insert(into.end(), {-3, queued.from, static_cast<std::int64_t>(queued.generation),
                                          renumber(queued.ask.number),
                                          queued.ask.renews ? renumber(queued.ask.renews) : 0});
                 length(queued.expires);
@@ -251,7 +251,7 @@
 }
 
 // Renews a running lease of that grantor, with the additional amount that is wanted, or asks for a new lease.
-Ask Quotas::make_ask(CacheId id, Server& server, Number grantor, Micros now) {
+Ask Quotas::make_ask(CacheId id, Server& server, RouterIndex grantor, Micros now) {
     if (++last_ask_number == 0) last_ask_number = 1;
     Ask ask{id, static_cast<std::uint32_t>(server.start), last_ask_number, 0, server.lookup_work, 0};
     auto additional = std::max(server.lookup_work, recent_demand(server, now) * demand_share_asked);
@@ -269,7 +269,7 @@
     return ask;
 }
 
-void Quotas::handle_grant(Number from, const Grant& grant, Micros now) {
+void Quotas::handle_grant(RouterIndex from, const Grant& grant, Micros now) {
     auto found = servers.find(grant.server);
     if (found == servers.end()) return;
     auto& server = found->second;
@@ -309,7 +309,7 @@
 
 // ---- grantor
 
-void Quotas::handle_ask(Number from, Life life, const Ask& ask, Micros now) {
+void Quotas::handle_ask(RouterIndex from, Generation generation, const Ask& ask, Micros now) {
     auto found = servers.find(ask.server);
     if (found == servers.end() || from == options.self) return;
     auto& server = found->second;
@@ -321,9 +321,11 @@
         totals.messages_refused++;
         return;
     }
-    if (known != server.queued_asks.end() && known->life == life && known->ask.number == ask.number) return;
+    if (known != server.queued_asks.end() && known->generation == generation &&
+        known->ask.number == ask.number)
+        return;
     if (known != server.queued_asks.end()) server.queued_asks.erase(known);
-    server.queued_asks.push_back({from, life, ask, now + ask_queue_time});
+    server.queued_asks.push_back({from, generation, ask, now + ask_queue_time});
 }
 
 // Renewals first, as they need no free amount; then in order of arrival.
@@ -348,7 +350,8 @@
     auto end = now + options.lease_duration + use_lifetime() + clock_margin;
     auto free = std::max(0.0, remaining(server, server.allowances.front(), now));  // erases expired leases
     auto running = std::find_if(server.granted_leases.begin(), server.granted_leases.end(), [&](auto& lease) {
-        return lease.borrower == queued.from && lease.life == queued.life && lease.lease_number == ask.renews;
+        return lease.borrower == queued.from && lease.generation == queued.generation &&
+               lease.lease_number == ask.renews;
     });
     // In whole lookups, so that no amount is blocked that nobody can use.
     auto max_amount = std::max(ask.min_amount, max_share_per_lease * own_share(server));
@@ -371,7 +374,7 @@
     if (total_leases >= max_leases) return {};
     auto amount = whole_lookups(std::min({ask.amount, max_amount, free}));
     if (amount < ask.min_amount * 0.999) return {};
-    server.granted_leases.push_back({queued.from, queued.life, ask.number, amount, end});
+    server.granted_leases.push_back({queued.from, queued.generation, ask.number, amount, end});
     totals.leases_granted++;
     return Grant{ask.server, ask.number, amount};
 }
--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -27,8 +27,8 @@
 //   stopped
 //      in between doesn't send. A stop between that check and the system call right after it is not covered.
 //   4. A lease is accepted once, by the number of its ask. A restarted router does not know the numbers of
-//      its previous incarnation.
-//   5. A restarted router neither uses nor grants before all that its previous incarnation may have granted
+//      its previous generation.
+//   5. A restarted router neither uses nor grants before all that its previous generation may have granted
 //      or used has ended (`restart_wait`).
 //   6. Only routers with the same settings lend to each other, by a hash of them in each datagram.
 // Not covered: a grantor that lies. Two routers that were told different starts of a server draw different
@@ -56,17 +56,17 @@
 
 namespace quillgrade::shared {
 
-using peers::Life;
-using peers::Number;
+using peers::Generation;
+using peers::RouterIndex;
 
 struct QuotaOptions {
-    Number self = 0;
+    RouterIndex self = 0;
     int routers = 1;
     int grantors = 4;                   // of each server's budget; has to be the same on all routers
     Micros window = 1'000'000;          // over which the settings bound the work
     Micros lease_duration = 3'000'000;  // has to be the same on all routers
     std::uint32_t seed = 1;
-    Micros now = 0;  // when this incarnation started
+    Micros now = 0;  // when this generation started
 };
 
 // A server that is cold by the list, and the work that all routers together may send it within a window now.
@@ -95,7 +95,7 @@
 };
 template <class Message>
 struct Addressed {
-    Number to;
+    RouterIndex to;
     Message body;
 };
 
@@ -148,13 +148,13 @@
     }
     // Queues an ask of a borrower, in place of its previous one. One that can't be granted at once waits for
     // `ask_queue_time`.
-    void handle_ask(Number from, Life life, const Ask& ask, Micros now);
+    void handle_ask(RouterIndex from, Generation generation, const Ask& ask, Micros now);
     // Grants what is free to the queued asks.
     std::vector<Addressed<Grant>> issue_grants(Micros now);
     // Accepts a lease if it answers the outstanding ask.
-    void handle_grant(Number from, const Grant& grant, Micros now);
+    void handle_grant(RouterIndex from, const Grant& grant, Micros now);
 
-    std::vector<Number> grantors_of(CacheId server, std::uint64_t start) const;
+    std::vector<RouterIndex> grantors_of(CacheId server, std::uint64_t start) const;
 
     struct Counters {
         std::uint64_t asks_sent = 0, leases_granted = 0, leases_received = 0, leases_renewed = 0,
@@ -165,7 +165,7 @@
     // still blocked after the end of its lease; the amount of its borrowed leases, and what of that was used.
     struct Usage {
         double own_share = 0, used = 0, lent = 0, blocked_after_end = 0, borrowed = 0, borrowed_used = 0;
-        std::vector<Number> borrowers{};
+        std::vector<RouterIndex> borrowers{};
     };
     Usage usage(CacheId id, Micros now);
     // Appends the state that determines future behaviour, with times relative to `now`, for state-space
@@ -182,30 +182,30 @@
     };
     // An amount that this router may use within each window: its own share, or a borrowed lease.
     struct Allowance {
-        Number grantor;                  // this router for its own share
+        RouterIndex grantor;             // this router for its own share
         std::uint32_t lease_number = 0;  // the number of the lease's first ask
         double amount = 0;
         Micros expires = 0;  // of a lease
         std::vector<Use> uses{};
     };
     struct GrantedLease {
-        Number borrower;
-        Life life;
+        RouterIndex borrower;
+        Generation generation;
         std::uint32_t lease_number;
         double amount;
         Micros blocked_until;
     };
     // A received ask that may still be granted.
     struct QueuedAsk {
-        Number from;
-        Life life;
+        RouterIndex from;
+        Generation generation;
         Ask ask;
         Micros expires;
     };
     // A sent ask that may still be answered.
     struct OutstandingAsk {
         std::uint32_t number = 0;
-        Number grantor = -1;
+        RouterIndex grantor = -1;
         Micros sent_at = 0;
         double amount = 0;
         std::uint32_t renews = 0;
@@ -213,7 +213,7 @@
     struct Server {
         std::uint64_t start = 0;
         double budget = 0;
-        std::vector<Number> grantors{};
+        std::vector<RouterIndex> grantors{};
         int own_shares = 0;                   // 1 where this router is a grantor, else 0
         std::vector<Allowance> allowances{};  // the own share first, if there is one
         std::vector<GrantedLease> granted_leases{};
@@ -224,8 +224,8 @@
         std::vector<QueuedAsk> queued_asks{};
         std::size_t next_grantor = 0;
         bool ask_due = false;
-        Number renewal_grantor = -1;  // whose lease to renew, -1: ask any grantor for a new lease
-        Micros last_listed = 0;       // when the server was last listed as cold
+        RouterIndex renewal_grantor = -1;  // whose lease to renew, -1: ask any grantor for a new lease
+        Micros last_listed = 0;            // when the server was last listed as cold
     };
     // A borrower waits this long for an answer. A grantor keeps an ask for less, so that its answer arrives
     // while it is still awaited.
@@ -234,7 +234,7 @@
     static constexpr std::size_t max_queued_asks = 64;
 
     void plan_ask(CacheId id, Server& server, Micros now);
-    Ask make_ask(CacheId id, Server& server, Number grantor, Micros now);
+    Ask make_ask(CacheId id, Server& server, RouterIndex grantor, Micros now);
     double used_work(Allowance& allowance, Micros now) const;
     static double blocked_work(Server& server, Micros now);
     static double own_share(const Server& server);
--- a/src/shared/request_counts.hpp
+++ b/src/shared/request_counts.hpp
@@ -30,7 +30,7 @@
 
 namespace quillgrade::shared {
 
-using peers::Number;
+using peers::RouterIndex;
 
 // The routers that were asked for a name in an epoch.
 struct Count {
@@ -46,7 +46,7 @@
     static constexpr std::size_t max_names = 2048;
     static constexpr int saturation_count = 6;  // a set with more bits than this is not sent any more
 
-    RequestCounts(Number self, int routers);
+    RequestCounts(RouterIndex self, int routers);
     // Counts a request to this router. Returns how many other routers of the location are known to have been
     // asked for the name.
     int count_request(std::uint64_t name, Micros now);
@@ -61,7 +61,7 @@
     std::size_t size() const { return entries.size(); }
     std::uint64_t dropped() const { return dropped_count; }
 
-    static std::uint32_t bit_of(Number router);
+    static std::uint32_t bit_of(RouterIndex router);
     static std::uint32_t epoch_of(Micros now) { return static_cast<std::uint32_t>(now / epoch_duration); }
 
 private:
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -25,7 +25,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, step = 10 * ms;
 constexpr CacheId servers = 3;
 
-feed::Endpoint server(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint server(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -42,26 +42,26 @@
         terms.exchange.features = parts;
         terms.exchange.settings = rig::shared_site();
         terms.steady = [this] { return fleet ? fleet->now() : 0; };
-        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::Rates{}, conditions);
+        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::MembershipSettings{}, conditions);
         fleet->start_all();
         feed::Listing all{true, {}};
         for (CacheId id = 1; id <= servers; id++) all.caches.push_back(server(id));
-        for (Number router = 0; router < routers; router++) list(router, all);
+        for (RouterIndex router = 0; router < routers; router++) list(router, all);
     }
-    void list(Number router, const feed::Listing& listing) {
+    void list(RouterIndex router, const feed::Listing& listing) {
         fleet->visit(router, [&](rig::Partner& one) {
             one.exchange().apply_listing(listing, one.times(fleet->clock(router)));
         });
     }
-    void drain(Number router, CacheId id, Micros started) {
-        list(router, {false, {server(id, Listed::Draining, started)}});
+    void drain(RouterIndex router, CacheId id, Micros started) {
+        list(router, {false, {server(id, EndpointState::Draining, started)}});
     }
     void run(Micros time) {
         boost::random::uniform_01<double> unit;
         boost::random::uniform_int_distribution<ObjectId> object(1, 2000);
         for (auto until = fleet->now() + time; fleet->now() < until;) {
             fleet->run_until(fleet->now() + step);
-            for (Number router = 0; router < fleet->count(); router++)
+            for (RouterIndex router = 0; router < fleet->count(); router++)
                 fleet->visit(router, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(router));
                     bool is_asked = unit(chance) * static_cast<double>(second) <
@@ -77,13 +77,13 @@
         REQUIRE(all_alive());
     }
     bool all_alive() {
-        for (Number router = 0; router < fleet->count(); router++)
-            for (Number other = 0; other < fleet->count(); other++)
+        for (RouterIndex router = 0; router < fleet->count(); router++)
+            for (RouterIndex other = 0; other < fleet->count(); other++)
                 if (fleet->protocol(router)->membership().state(other) != peers::State::Alive) return false;
         return true;
     }
     // Delivers to router `who` a payload of `from` with a digest that differs from its own.
-    void deliver_differing_digest(Number from, Number router) {
+    void deliver_differing_digest(RouterIndex from, RouterIndex router) {
         Payload other;
         other.digest = 0x5eed;
         fleet->visit(router, [&](rig::Partner& one) {
@@ -95,9 +95,9 @@
     }
 
     // Lets router `who` send until its next datagram of shared state has to wait for bytes.
-    void use_up_bytes(Number router, Number to) {
+    void use_up_bytes(RouterIndex router, RouterIndex to) {
         fleet->visit(router, [&](rig::Partner& one) {
-            while (one.membership().tell(to, true, fleet->clock(router))) {
+            while (one.membership().send_piggyback(to, true, fleet->clock(router))) {
             }
         });
     }
@@ -125,7 +125,7 @@
     Tier tier(6, seed, 20, {0.05, 3 * ms, 24 * ms, 0, 0});
     tier.run_until_all_are_alive();
     tier.run(second);
-    for (Number router = 1; router < tier.fleet->count(); router++) {
+    for (RouterIndex router = 1; router < tier.fleet->count(); router++) {
         tier.fleet->protocol(router)->live = 0;
         tier.fleet->cut(router, 0, true);
     }
@@ -133,7 +133,7 @@
     tier.drain(0, 1, tier.fleet->now());
     tier.run(time);
     int missing = 0;
-    for (Number router = 1; router < tier.fleet->count(); router++)
+    for (RouterIndex router = 1; router < tier.fleet->count(); router++)
         missing += tier.fleet->protocol(router)->closed == 0;
     return missing;
 }
@@ -154,7 +154,7 @@
         INFO("seed ", seed);
         Tier tier(8, seed, 50, {});
         tier.run_until_all_are_alive();
-        for (Number router = 0; router < tier.fleet->count(); router++) tier.drain(router, 1, 0);
+        for (RouterIndex router = 0; router < tier.fleet->count(); router++) tier.drain(router, 1, 0);
         tier.run(5 * second);
         bool facts_sent = false, delivered = false;
         int datagrams = 0, with_counts = 0;
@@ -185,7 +185,7 @@
     int datagrams_sent = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
-        datagrams_sent += from == 1 && to == 0 && sent && sent->message.kind == peers::Kind::News &&
+        datagrams_sent += from == 1 && to == 0 && sent && sent->message.type == peers::MessageType::Gossip &&
                           !sent->message.payload.empty();
     };
     tier.deliver_differing_digest(0, 1);
@@ -210,7 +210,7 @@
 }
 
 TEST_CASE("sends are not used up on the router that sent the fact, and end where there is no other") {
-    constexpr Number sender = 3, other = 4;
+    constexpr RouterIndex sender = 3, other = 4;
     constexpr Micros now = 1'764'576'000 * second;
     ReplicatedFacts facts(6 * second, 10), facts_of_two(6 * second, 2);
     Fact drain{FactSubject::Server, 7, 0, false, now / ms};
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -33,7 +33,7 @@
         terms.exchange.settings = rig::shared_site();
         terms.exchange.lease_duration = lease;
         terms.steady = [this] { return fleet ? fleet->now() : noon_us; };
-        peers::Rates rates;
+        peers::MembershipSettings rates;
         rates.bytes_per_s = 600;
         fleet = std::make_unique<SharedFleet>(routers, 1, seed, rates, conditions);
         fleet->start_all();
@@ -43,7 +43,7 @@
     }
     void list_parent(int router) {
         feed::Endpoint endpoint;
-        endpoint.entry = {parent, Listed::Ready, 4, 1, 0, 0, started};
+        endpoint.entry = {parent, EndpointState::Ready, 4, 1, 0, 0, started};
         fleet->visit(router, [&](rig::Partner& one) {
             one.exchange().apply_listing({false, {endpoint}}, one.times(fleet->clock(router)));
         });
@@ -77,7 +77,7 @@
     }
     rig::ColdVerdict verdict() const {
         rig::ColdTerms terms;
-        terms.cold = rig::shared_site().parent_cold;
+        terms.cold = rig::shared_site().parent_cold_period;
         return rig::judge(seen, started, fleet->now(), terms, 0);
     }
     bool holds() const {
@@ -86,7 +86,7 @@
                 judged.used_share, " used");
         return judged.exceeded == 0 && judged.lookups > 20;
     }
-    std::vector<Number> grantors() const {
+    std::vector<RouterIndex> grantors() const {
         QuotaOptions options;
         options.routers = fleet->count();
         return Quotas(options).grantors_of(parent, static_cast<std::uint64_t>(started / ms));
@@ -151,7 +151,7 @@
     }
     Grant borrow_one_lookup() {
         borrower->record_unmet_demand(server, 100'000, 100'000, 0);
-        grantor->handle_ask(1, 1, borrower->due_asks([](Number) { return true; }, 0).at(0).body, 0);
+        grantor->handle_ask(1, 1, borrower->due_asks([](RouterIndex) { return true; }, 0).at(0).body, 0);
         return grantor->issue_grants(0).at(0).body;
     }
     CacheId server = 1;
@@ -189,15 +189,15 @@
     return used && pair.grantor->available(pair.server, pair.lease + 10 * ms) < 100'000;
 }
 
-// A grant that is still in flight reaches the next incarnation of the borrower.
-bool grant_to_earlier_incarnation() {
+// A grant that is still in flight reaches the next generation of the borrower.
+bool grant_to_earlier_generation() {
     QuotaOptions options;
     options.routers = 4;
     options.grantors = 1;
     options.now = -1000 * second;
     CacheId server = 1;
     while (Quotas(options).grantors_of(server, 5)[0] != 0) server++;
-    auto made = [&](Number self) {
+    auto made = [&](RouterIndex self) {
         options.self = self;
         options.seed = static_cast<std::uint32_t>(self + 1);
         Quotas quotas(options);
@@ -206,7 +206,7 @@
     };
     auto grantor = made(0), first = made(1);
     first.record_unmet_demand(server, 100'000, 100'000, 0);
-    auto asks = first.due_asks([](Number) { return true; }, 0);
+    auto asks = first.due_asks([](RouterIndex) { return true; }, 0);
     grantor.handle_ask(1, 1, asks.at(0).body, 0);
     auto grant = grantor.issue_grants(0).at(0).body;
     // The grant arrives when the grantor has the amount back already.
@@ -220,7 +220,7 @@
 bool excessive_grant() {
     GrantorAndBorrower pair(400'000);
     pair.borrower->record_unmet_demand(pair.server, 100'000, 100'000, 0);
-    auto ask = pair.borrower->due_asks([](Number) { return true; }, 0).at(0).body;
+    auto ask = pair.borrower->due_asks([](RouterIndex) { return true; }, 0).at(0).body;
     pair.borrower->handle_grant(0, {pair.server, ask.number, 1e9}, 0);
     return pair.borrower->available(pair.server, 0) <= 100'000;
 }
@@ -246,8 +246,8 @@
 bool disconnected_router_keeps_closed() {
     ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, 0};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, 0};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.apply_listing({true, {one, other}}, noon_us);
     facts.receive({FactSubject::Server, 1, 0, true, noon_ms}, noon_us);
     facts.tick(0, noon_us);
@@ -257,14 +257,14 @@
 bool next_process_is_open() {
     ReplicatedFacts facts(6 * second, 10);
     feed::Endpoint one, other;
-    one.entry = {1, Listed::Ready, 4, 0, 0, 1, noon_us};
-    other.entry = {2, Listed::Ready, 4, 0, 0, 1, 0};
+    one.entry = {1, EndpointState::Ready, 4, 0, 0, 1, noon_us};
+    other.entry = {2, EndpointState::Ready, 4, 0, 0, 1, 0};
     facts.apply_listing({true, {one, other}}, noon_us);
     facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_us);
     facts.tick(0, noon_us);
-    one.entry.started = noon_us + 3 * second;
-    return facts.apply_listing({true, {one, other}}, noon_us + 4 * second).caches[0].entry.listed ==
-           Listed::Ready;
+    one.entry.started_at = noon_us + 3 * second;
+    return facts.apply_listing({true, {one, other}}, noon_us + 4 * second).caches[0].entry.state ==
+           EndpointState::Ready;
 }
 
 bool later_purge_stays() {
@@ -306,7 +306,7 @@
     {Flaw::LenderKeepsUsing, "a lent amount is blocked for the grantor", undisturbed},
     {Flaw::NewLifeAtOnce, "a restarted router waits", grantors_restarted},
     {Flaw::LoanTwice, "a duplicated grant counts once", grant_delivered_twice},
-    {Flaw::AnyGrant, "a grant is for the incarnation that asked", grant_to_earlier_incarnation},
+    {Flaw::AnyGrant, "a grant is for the generation that asked", grant_to_earlier_generation},
     {Flaw::NotLookedAgain, "the quota is checked again where it is used", stopped_before_sending},
     {Flaw::LentAgainAtOnce, "a lease's last use still counts after its end", last_use_of_lease},
     {Flaw::AmountsBelieved, "granted amounts are capped at what was asked for", excessive_grant},
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -21,7 +21,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, noon_us = 1'764'576'000 * second;
 constexpr std::uint64_t noon_ms = noon_us / ms;
 
-feed::Endpoint endpoint(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint endpoint(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -39,7 +39,7 @@
     return all;
 }
 
-QuotaOptions options_for(Number self, int routers = 4, int grantors = 1) {
+QuotaOptions options_for(RouterIndex self, int routers = 4, int grantors = 1) {
     QuotaOptions options;
     options.self = self;
     options.routers = routers;
@@ -48,7 +48,7 @@
     return options;
 }
 // A server of which router `grantor` is the only grantor.
-CacheId server_granted_by(Number grantor, int routers = 4) {
+CacheId server_granted_by(RouterIndex grantor, int routers = 4) {
     Quotas quotas(options_for(0, routers));
     CacheId id = 1;
     while (quotas.grantors_of(id, 5)[0] != grantor) id++;
@@ -62,7 +62,7 @@
         borrower.set_cold_servers({{server, 5, budget}}, 0);
     }
     std::vector<Addressed<Ask>> asks(Micros now) {
-        return borrower.due_asks([](Number) { return true; }, now);
+        return borrower.due_asks([](RouterIndex) { return true; }, now);
     }
     // Asks for a lease of one lookup and delivers the grant at once. Returns whether there was one.
     bool borrow_one_lookup(Micros now, double work = 100'000) {
@@ -101,12 +101,12 @@
     auto changes = facts.tick(0, noon_us);
     REQUIRE(changes.listing.caches.size() == 1);
     CHECK(changes.listing.caches[0].entry.id == 1);
-    CHECK(changes.listing.caches[0].entry.listed == Listed::Draining);
+    CHECK(changes.listing.caches[0].entry.state == EndpointState::Draining);
     CHECK(!changes.listing.complete);
     CHECK(facts.tick(0, noon_us).listing.caches.empty());  // reported once
     // A later list that still has the server ready is narrowed too.
-    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.listed ==
-          Listed::Draining);
+    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.state ==
+          EndpointState::Draining);
 }
 
 TEST_CASE("a fact about an unlisted server adds no server, and applies once it is listed") {
@@ -115,8 +115,8 @@
     facts.receive({FactSubject::Server, 9, 0, true, noon_ms}, noon_us);
     CHECK(facts.tick(0, noon_us).listing.caches.empty());
     // The fact arrived before the list, and applies once the list names the server.
-    CHECK(facts.apply_listing(listing({endpoint(9)}), noon_us + second).caches[0].entry.listed ==
-          Listed::Draining);
+    CHECK(facts.apply_listing(listing({endpoint(9)}), noon_us + second).caches[0].entry.state ==
+          EndpointState::Draining);
 }
 
 TEST_CASE("a received drain lapses after the contradiction timeout only if the own coordinator is heard") {
@@ -144,20 +144,21 @@
 
 TEST_CASE("a fact about a server's process does not close its next process") {
     auto facts = make_facts();
-    facts.apply_listing(listing({endpoint(1, Listed::Ready, noon_us), endpoint(2)}, true), noon_us);
+    facts.apply_listing(listing({endpoint(1, EndpointState::Ready, noon_us), endpoint(2)}, true), noon_us);
     facts.receive({FactSubject::Server, 1, noon_ms, true, noon_ms}, noon_us);
     CHECK(facts.tick(0, noon_us).closed == 1);
-    auto next = facts.apply_listing(
-        listing({endpoint(1, Listed::Ready, noon_us + second), endpoint(2)}, true), noon_us + 2 * second);
-    CHECK(next.caches[0].entry.listed == Listed::Ready);
+    auto next =
+        facts.apply_listing(listing({endpoint(1, EndpointState::Ready, noon_us + second), endpoint(2)}, true),
+                            noon_us + 2 * second);
+    CHECK(next.caches[0].entry.state == EndpointState::Ready);
     CHECK(facts.tick(0, noon_us + 2 * second).reopened == std::vector<CacheId>{1});
 }
 
 TEST_CASE("a server opens at once when the own coordinator takes back its drain") {
     auto facts = make_facts();
-    facts.apply_listing(listing({endpoint(1, Listed::Draining), endpoint(2)}, true), noon_us);
-    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.listed ==
-          Listed::Ready);
+    facts.apply_listing(listing({endpoint(1, EndpointState::Draining), endpoint(2)}, true), noon_us);
+    CHECK(facts.apply_listing(listing({endpoint(1)}), noon_us + second).caches[0].entry.state ==
+          EndpointState::Ready);
     CHECK(facts.tick(noon_us, noon_us + second).listing.caches.empty());
 }
 
@@ -233,9 +234,9 @@
     for (CacheId id = 1; id < 50; id++) {
         auto grantors = one.grantors_of(id, 5);
         CHECK(grantors == other.grantors_of(id, 5));
-        CHECK(std::set<Number>(grantors.begin(), grantors.end()).size() == 4);
+        CHECK(std::set<RouterIndex>(grantors.begin(), grantors.end()).size() == 4);
         auto all = few.grantors_of(id, 5);
-        CHECK(std::set<Number>(all.begin(), all.end()).size() == 3);
+        CHECK(std::set<RouterIndex>(all.begin(), all.end()).size() == 3);
     }
 }
 
@@ -271,7 +272,7 @@
     CHECK(until <= options_for(0).lease_duration - 50 * ms);
 }
 
-TEST_CASE("a grant is accepted once, only by the asking incarnation, from the asked router, in time") {
+TEST_CASE("a grant is accepted once, only by the asking generation, from the asked router, in time") {
     GrantorAndBorrower pair;
     pair.borrower.record_unmet_demand(pair.server, 100'000, 100'000, 0);
     auto ask = pair.asks(0).at(0).body;
@@ -371,9 +372,9 @@
         CacheId server = 1 + static_cast<CacheId>(draw(1000));
         double budget = 400'000;
         std::vector<Quotas> all;
-        std::vector<Life> lives(static_cast<std::size_t>(routers), 1);
+        std::vector<Generation> generations(static_cast<std::size_t>(routers), 1);
         std::vector<Micros> skew;  // steady clocks start at arbitrary times
-        for (Number i = 0; i < routers; i++) {
+        for (RouterIndex i = 0; i < routers; i++) {
             auto options = options_for(i, routers, grantors);
             options.seed = chance();
             all.emplace_back(options);
@@ -382,8 +383,8 @@
         }
         struct Message {
             Micros at;
-            Number from, to;
-            Life life;
+            RouterIndex from, to;
+            Generation generation;
             std::optional<Ask> ask;
             std::optional<Grant> grant;
         };
@@ -415,12 +416,13 @@
                         in_flight.push_back(outgoing);
                     }
                 };
-                auto self = static_cast<Number>(i);
-                for (auto& [to, ask] : quotas.due_asks([](Number) { return true; }, clock))
-                    post({0, self, to, lives[i], ask, {}});
-                for (auto& [to, grant] : quotas.issue_grants(clock)) post({0, self, to, lives[i], {}, grant});
+                auto self = static_cast<RouterIndex>(i);
+                for (auto& [to, ask] : quotas.due_asks([](RouterIndex) { return true; }, clock))
+                    post({0, self, to, generations[i], ask, {}});
+                for (auto& [to, grant] : quotas.issue_grants(clock))
+                    post({0, self, to, generations[i], {}, grant});
                 if (draw(2000) == 0) {
-                    lives[i]++;
+                    generations[i]++;
                     auto options = options_for(self, routers, grantors);
                     options.now = clock;
                     options.seed = chance();
@@ -432,7 +434,7 @@
             std::erase_if(in_flight, [&](auto& one) {
                 if (one.at > now) return false;
                 auto to = static_cast<std::size_t>(one.to);
-                if (one.ask) all[to].handle_ask(one.from, one.life, *one.ask, now + skew[to]);
+                if (one.ask) all[to].handle_ask(one.from, one.generation, *one.ask, now + skew[to]);
                 if (one.grant) all[to].handle_grant(one.from, *one.grant, now + skew[to]);
                 return true;
             });
@@ -464,7 +466,7 @@
     health_reports.receive(2, 1, 1, {4, 1}, slow, noon_us);
     auto fresh = health_reports.aggregate(5, 0, noon_us);
     CHECK(fresh.samples == 6);
-    CHECK(fresh.slow == 6.0);
+    CHECK(fresh.slowdown == 6.0);
     auto later = health_reports.aggregate(5, 0, noon_us + HealthReports::half_life);
     CHECK(later.samples == doctest::Approx(3));
     CHECK(health_reports.aggregate(5, 0, noon_us + HealthReports::report_lifetime).samples == 0);
@@ -476,7 +478,7 @@
 TEST_CASE("reporters in different zones weigh more than as many in one zone") {
     HealthReports one_zone, many;
     Complaint bad{5, 0, 4, 1, 0, 0};
-    for (Number i = 0; i < 4; i++) {
+    for (RouterIndex i = 0; i < 4; i++) {
         one_zone.receive(i, 0, 1, {4, 1}, bad, noon_us);
         many.receive(i, i, 1, {4, 1}, bad, noon_us);
     }
@@ -499,33 +501,33 @@
     health_reports.receive(1, 0, 1, {5, 1}, {5, 0, 4, 0, 3, 0}, noon_us);
     health_reports.receive(2, 1, 1, {5, 1}, {5, 0, 4, 0, 3.2, 0}, noon_us);
     health_reports.receive(3, 2, 1, {5, 1}, {5, 0, 4, 0, 1e5, 0}, noon_us);
-    CHECK(health_reports.aggregate(5, 0, noon_us).slow == 3.2);
+    CHECK(health_reports.aggregate(5, 0, noon_us).slowdown == 3.2);
 }
 
 TEST_CASE("peer reports are used only where own samples are few, and own samples take precedence") {
     auto module = router();
     auto* server = find_server(module, 1);
-    server->hearsay = {8, 0.9, 0};
-    CHECK(std::string(complaint(module, *server, noon)) == "failing, by hearsay");
-    server->judged_at = 0;
-    server->hearsay = {8, 0, 4};
-    CHECK(std::string(complaint(module, *server, noon)) == "slow, by hearsay");
-    server->judged_at = 0;
-    for (int i = 0; i < 8; i++) server->verdicts.push_back({noon, 0});
-    CHECK(complaint(module, *server, noon) == nullptr);
-    server->judged_at = 0;
-    server->verdicts.clear();
-    server->hearsay = {5, 1, 9};  // too few samples
-    CHECK(complaint(module, *server, noon) == nullptr);
+    server->peer_report = {8, 0.9, 0};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "failing, by hearsay");
+    server->evaluated_at = 0;
+    server->peer_report = {8, 0, 4};
+    CHECK(std::string(ejection_reason(module, *server, noon)) == "slow, by hearsay");
+    server->evaluated_at = 0;
+    for (int i = 0; i < 8; i++) server->failures.push_back({noon, 0});
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
+    server->evaluated_at = 0;
+    server->failures.clear();
+    server->peer_report = {5, 1, 9};  // too few samples
+    CHECK(ejection_reason(module, *server, noon) == nullptr);
 }
 
 TEST_CASE("a location's servers stay usable if peer reports condemn all of them") {
     auto module = router();
-    for (CacheId id : {1, 2, 3}) find_server(module, id)->hearsay = {20, 1, 20};
-    for (auto& server : module.servers) server.last_trial = noon;
-    auto handle = module.take(lookup(1), noon);
-    auto answer = handle.place(noon + 1);
-    CHECK(answer.final == Final::None);
+    for (CacheId id : {1, 2, 3}) find_server(module, id)->peer_report = {20, 1, 20};
+    for (auto& server : module.servers) server.last_half_open_probe_at = noon;
+    auto handle = module.add_lookup(lookup(1), noon);
+    auto answer = handle.first_attempt(noon + 1);
+    CHECK(answer.final_result == FinalResult::None);
     CHECK(answer.send);
 }
 
@@ -534,17 +536,17 @@
     for (CacheId id : {1, 2, 3})
         for (int i = 0; i < 2; i++) {
             find_server(module, id)->slowness.push_back({noon, id == 2 ? 9.0 : 1.2});
-            find_server(module, id)->verdicts.push_back({noon, 0});
+            find_server(module, id)->failures.push_back({noon, 0});
         }
-    auto complaints = module.witnessed(noon);
+    auto complaints = module.health_reports(noon);
     REQUIRE(complaints.size() == 1);
     CHECK(complaints[0].server == 2);
-    CHECK(complaints[0].slow == doctest::Approx(7.5));
-    CHECK(module.measured(noon) == 3);
+    CHECK(complaints[0].slowdown == doctest::Approx(7.5));
+    CHECK(module.measured_servers(noon) == 3);
     // No complaint where all servers are equally slow.
     for (CacheId id : {1, 3})
         for (auto& sample : find_server(module, id)->slowness) sample.value = 9;
-    CHECK(module.witnessed(noon).empty());
+    CHECK(module.health_reports(noon).empty());
 }
 
 // ---- request counts
@@ -553,11 +555,11 @@
     constexpr int routers = 40;
     std::vector<RequestCounts> all;
     all.reserve(routers);
-    for (Number i = 0; i < routers; i++) all.emplace_back(i, routers);
+    for (RouterIndex i = 0; i < routers; i++) all.emplace_back(i, routers);
     std::mt19937 chance(5);
-    std::map<std::uint64_t, std::set<Number>> asked_routers;
+    std::map<std::uint64_t, std::set<RouterIndex>> asked_routers;
     for (int step = 0; step < 4000; step++) {
-        auto who = static_cast<Number>(chance() % routers);
+        auto who = static_cast<RouterIndex>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
         all[static_cast<std::size_t>(who)].count_request(name, noon_us);
         asked_routers[name].insert(who);
@@ -581,7 +583,7 @@
 TEST_CASE("an epoch counts half in the next and then nothing, and older counts are dropped") {
     RequestCounts request_counts(0, 40);
     std::uint32_t six = 0;
-    for (Number i = 1; std::popcount(six) < 6; i++)
+    for (RouterIndex i = 1; std::popcount(six) < 6; i++)
         if (RequestCounts::bit_of(i) != RequestCounts::bit_of(0)) six |= RequestCounts::bit_of(i);
     auto epoch = RequestCounts::epoch_of(noon_us);
     CHECK(request_counts.receive({7, epoch, six}, noon_us));
@@ -614,7 +616,7 @@
     double last = module.p();
     CHECK(last == 0.5);
     for (int heard = 2; heard <= 40; heard++) {
-        module.heard = heard;
+        module.counting_routers = heard;
         CHECK(module.p() >= last);
         CHECK(module.p() - last <= 0.5);
         last = module.p();
@@ -675,20 +677,20 @@
 // ---- operators' file
 
 TEST_CASE("the operators' file names what is shared, only beside peers, and its faults are reported") {
-    auto good = operate::read(
+    auto good = operate::parse(
         R"({"peers": {}, "shared": {"rights": {"owners": 6, "loan_ms": 900}, "counts": false}})");
-    CHECK(good.faults.empty());
-    REQUIRE(good.plan.shared);
-    CHECK(good.plan.shared->owners == 6);
-    CHECK(good.plan.shared->lease == 900 * ms);
-    CHECK(!good.plan.shared->counts);
-    CHECK(good.plan.shared->facts);
-    CHECK(!operate::read(R"({"peers": {}, "shared": {"rights": false}})").plan.shared->quotas);
-    CHECK(operate::read(R"({"shared": {}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"rights": {"owners": 0}}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"rights": {"owners": 2.5}}})").faults.size() == 1);
-    CHECK(operate::read(R"({"peers": {}, "shared": {"budgets": {}}})").faults.size() == 1);
-    CHECK(!operate::read("{}").plan.shared);
+    CHECK(good.errors.empty());
+    REQUIRE(good.config.shared);
+    CHECK(good.config.shared->lease_grantors == 6);
+    CHECK(good.config.shared->lease_duration == 900 * ms);
+    CHECK(!good.config.shared->counts);
+    CHECK(good.config.shared->facts);
+    CHECK(!operate::parse(R"({"peers": {}, "shared": {"rights": false}})").config.shared->quotas);
+    CHECK(operate::parse(R"({"shared": {}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"rights": {"owners": 0}}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"rights": {"owners": 2.5}}})").errors.size() == 1);
+    CHECK(operate::parse(R"({"peers": {}, "shared": {"budgets": {}}})").errors.size() == 1);
+    CHECK(!operate::parse("{}").config.shared);
 }
 
 TEST_CASE("the judge of budgets counts the lookups within a window") {
@@ -705,7 +707,7 @@
 // bounds what the router sends in the last moments of the true cold time.
 TEST_CASE("a cold budget is shared until the cold time ends by the slowest clock that is allowed") {
     constexpr Micros ahead = 250 * ms;
-    peers::Start start;
+    peers::MembershipConfig start;
     start.self = 0;
     start.routers = 12;
     start.now = noon_us;
@@ -715,14 +717,14 @@
     options.now = {noon_us, 1000 * second};
     Exchange exchange(membership, options);
     feed::Endpoint parent;
-    parent.entry = {101, Listed::Ready, 4, options.settings.parent_kind, 0, 0, noon_us};
+    parent.entry = {101, EndpointState::Ready, 4, options.settings.parent_kind, 0, 0, noon_us};
     auto at = [&](Micros age) { return ClockReadings{noon_us + age, 1000 * second + age}; };
     auto is_shared = [&](Micros age) {
         exchange.tick(1, at(age));
         return exchange.available_quota(101, at(age)) >= 0;
     };
     exchange.apply_listing(listing({parent}), at(0));
-    const auto cold = options.settings.parent_cold;
+    const auto cold = options.settings.parent_cold_period;
     CHECK(exchange.parent_cold() == cold + ahead);
     CHECK(is_shared(cold - ms));
     CHECK(is_shared(cold + ahead - ms));
@@ -735,7 +737,7 @@
 }
 
 TEST_CASE("where no budget is shared, the cold time is that of the settings") {
-    peers::Start start;
+    peers::MembershipConfig start;
     start.self = 0;
     start.routers = 12;
     start.now = noon_us;
@@ -743,11 +745,11 @@
         peers::Membership membership(start);
         ExchangeOptions options;
         options.settings = rig::shared_site();
-        options.settings.ratings_are_links = links;
+        options.settings.weights_are_link_rates = links;
         options.features.quotas = !links;
         options.now = {noon_us, 1000 * second};
         Exchange exchange(membership, options);
-        CHECK(exchange.parent_cold() == options.settings.parent_cold);
+        CHECK(exchange.parent_cold() == options.settings.parent_cold_period);
     }
 }
 
@@ -756,15 +758,15 @@
 TEST_CASE("a cold server gets at most what the quota allows") {
     auto module = router();
     auto entry_of = entry(11, 1, 0);
-    entry_of.started = noon;
-    module.list({entry_of}, false, noon);
+    entry_of.started_at = noon;
+    module.update_endpoints({entry_of}, false, noon);
     auto* parent = find_server(module, 11);
-    parent->right = 250 * test_ms;
+    parent->quota = 250 * test_ms;
     double work = 100 * test_ms;
     CHECK(within_cold_budget(module, *parent, work, noon + 1));
-    CHECK(parent->wanted == work);
-    parent->right = 99 * test_ms;
+    CHECK(parent->quota_demand == work);
+    parent->quota = 99 * test_ms;
     CHECK(!within_cold_budget(module, *parent, work, noon + 1));
-    parent->right = -1;  // not shared: this router's own share of the budget
+    parent->quota = -1;  // not shared: this router's own share of the budget
     CHECK(!within_cold_budget(module, *parent, 1000 * work, noon + 1));
 }
