--- a/src/vault/vault.cpp
+++ b/src/vault/vault.cpp
@@ -208,7 +208,7 @@
         auto& one = *set.add_bundles();
         one.set_type_url(std::string(discovery::type_url(bundle->kind)));
         one.set_identity(bundle->identity);
-        one.set_text(bundle->text);
+        one.set_text(bundle->version_text);
         one.set_number(bundle->number);
         for (auto& [name, item] : bundle->items) {
             auto& kept = *one.add_items();
@@ -251,7 +251,7 @@
         version::Bundle bundle;
         bundle.kind = *kind;
         bundle.identity = one.identity();
-        bundle.text = one.text();
+        bundle.version_text = one.text();
         bundle.number = one.number();
         for (auto& kept : one.items()) {
             auto item = std::make_shared<version::Item>();
--- a/src/version/bundle.cpp
+++ b/src/version/bundle.cpp
@@ -14,12 +14,13 @@
 }
 
 std::string describe(const VersionSet& set) {
-    std::string all;
-    for (auto& one : set)
-        if (one)
-            all += (all.empty() ? "" : ", ") + std::string(discovery::name_of(one->bundle.kind)) + " " +
-                   one->bundle.text + " of '" + one->bundle.identity + "'";
-    return all.empty() ? "nothing" : all;
+    std::string description;
+    for (auto& version : set)
+        if (version)
+            description += (description.empty() ? "" : ", ") +
+                           std::string(discovery::name_of(version->bundle.kind)) + " " +
+                           version->bundle.version_text + " of '" + version->bundle.identity + "'";
+    return description.empty() ? "nothing" : description;
 }
 
 ConfiguredLimits configured_limits(const SiteFacts& facts, const site::Terms& terms) {
--- a/src/version/bundle.hpp
+++ b/src/version/bundle.hpp
@@ -1,4 +1,7 @@
-// A version of one kind of resource as it was told, and what it says once it is checked. Plain values.
+// Plain values of streamed configuration: one version of one kind of resource as it was received (Bundle),
+// the same after validation (ValidatedBundle), and the versions that are active together (VersionSet).
+//
+// Bundles that are shared through a VersionSet are never changed. Times are in microseconds.
 #pragma once
 
 #include <array>
@@ -19,7 +22,7 @@
 
 using discovery::Kind;
 
-// A resource that another one wants to be in force together with it.
+// A resource that has to be active whenever the resource that names it is.
 struct Dependency {
     Kind kind;
     std::string name;
@@ -27,29 +30,30 @@
     auto operator<=>(const Dependency&) const = default;
 };
 
-// What one resource of kind Boxes says. Shared by all versions that hold it unchanged.
+// The parsed content of one resource of kind Boxes. Shared by all versions that contain it unchanged.
 struct ParsedBoxes {
     std::vector<feed::Endpoint> endpoints;
-    std::vector<int> emptied_zones;  // zones, by their places in the settings
+    std::vector<int> emptied_zones;  // indices into the zones of the settings
     std::vector<Dependency> dependencies;
 };
 
+// One resource: the service's own version label of it, and the message as it was received.
 struct Item {
     std::string label, bytes;
-    std::shared_ptr<const ParsedBoxes> read;  // empty until it has passed its check
+    std::shared_ptr<const ParsedBoxes> parsed;  // null until validated, and for kinds other than Boxes
 };
-using Items = std::map<std::string, std::shared_ptr<Item>>;
+using Items = std::map<std::string, std::shared_ptr<Item>>;  // by resource name
 
 struct Bundle {
     Kind kind = Kind::Boxes;
-    std::string identity, text;  // who numbers, and the version as it stands on the wire
+    std::string identity, version_text;  // who assigned the number, and the version as it was received
     std::uint64_t number = 0;
     Items items;
     std::uint64_t digest = 0;  // of names and bytes: equal contents have equal digests
 };
 std::uint64_t digest_of(const Items& items);
 
-// Limits and times as a version narrows them; empty: as the settings have it.
+// Limits and timeouts that a version narrows; empty: the value of the settings applies.
 struct Amounts {
     std::optional<int> attempts;
     std::optional<bool> second_copies;
@@ -57,24 +61,23 @@
     bool operator==(const Amounts&) const = default;
 };
 
-// A bundle that has passed its check.
 struct ValidatedBundle {
     Bundle bundle;
-    std::vector<feed::Endpoint> endpoints;  // of all items, by rising id
-    std::vector<int> emptied_zones;
+    std::vector<feed::Endpoint> endpoints;  // of all items, in ascending order of id
+    std::vector<int> emptied_zones;         // zones that the version leaves without a server on purpose
     Amounts amounts;
-    std::shared_ptr<const route::RuleSet> rules;  // of kind Rules
+    std::shared_ptr<const route::RuleSet> rules;  // of kind Rules, else null
     std::vector<Dependency> dependencies;
 };
 
-// What is in force together, a bundle a kind; empty: none of that kind.
+// The versions that are active together, one per kind; null: no version of that kind.
 using VersionSet = std::array<std::shared_ptr<const ValidatedBundle>, discovery::kinds>;
 inline const std::shared_ptr<const ValidatedBundle>& version_of(const VersionSet& set, Kind kind) {
     return set[static_cast<std::size_t>(kind)];
 }
 std::string describe(const VersionSet& set);  // "Boxes 17 of 'ctl-a', Amounts 3 of 'ctl-a'", or "nothing"
 
-// What the settings allow: a version may narrow it.
+// The settings' limits, which a version may narrow but never exceed.
 struct ConfiguredLimits {
     site::Terms terms;
     int max_attempts = 1;
--- a/src/version/check.cpp
+++ b/src/version/check.cpp
@@ -12,30 +12,33 @@
 
 namespace wire = quillgrade::config::v1;
 
-constexpr int most_told = 3;  // faults that are told in full
-constexpr Micros ms = 1000, least_connect_time = 10 * ms, least_idle_time = 100 * ms;
-constexpr double most_weight = 1e9;
-constexpr std::int64_t latest_ms = std::int64_t{1} << 50;
+constexpr int max_reported_errors = 3;  // further errors are only counted
+constexpr Micros millisecond = 1000, min_connect_timeout = 10 * millisecond,
+                 min_idle_timeout = 100 * millisecond;
+constexpr double max_weight = 1e9;
+constexpr std::int64_t max_started_ms = std::int64_t{1} << 50;
 
-std::string cited(const std::string& text) {
-    std::string out = text.substr(0, 60);
-    for (auto& c : out)
+// At most 60 bytes, with anything but printable ASCII replaced: the text comes from the network.
+std::string quoted(const std::string& text) {
+    std::string printable = text.substr(0, 60);
+    for (auto& c : printable)
         if (static_cast<unsigned char>(c) < 0x20 || static_cast<unsigned char>(c) > 0x7e) c = '?';
-    return "'" + out + "'";
+    return "'" + printable + "'";
 }
 
-int place_of(const std::string& name, const std::vector<std::string>& names) {
+int index_of(const std::string& name, const std::vector<std::string>& names) {
     auto found = std::find(names.begin(), names.end(), name);
     return found == names.end() ? -1 : static_cast<int>(found - names.begin());
 }
 
-std::string listed(const std::vector<std::string>& names) {
-    std::string all;
+// The first 200 bytes or so, as a NACK's reason is limited in length.
+std::string joined(const std::vector<std::string>& names) {
+    std::string list;
     for (auto& name : names) {
-        if (all.size() > 200) return all + ", …";
-        all += (all.empty() ? "" : ", ") + name;
+        if (list.size() > 200) return list + ", …";
+        list += (list.empty() ? "" : ", ") + name;
     }
-    return all;
+    return list;
 }
 
 std::string id_text(CacheId id) {
@@ -46,227 +49,235 @@
 
 }  // namespace
 
-Validator::Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> before,
+Validator::Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> active,
                      const ConfiguredLimits& limits)
-    : limits(limits), before(std::move(before)), checked(std::make_shared<ValidatedBundle>()) {
-    checked->bundle = std::move(bundle);
-    at = checked->bundle.items.begin();
+    : limits(limits), active(std::move(active)), validated(std::make_shared<ValidatedBundle>()) {
+    validated->bundle = std::move(bundle);
+    current_item = validated->bundle.items.begin();
 }
 
-void Validator::fault(const std::string& where, const std::string& what) {
-    if (++faults <= most_told) told.push_back(where + ": " + what);
+void Validator::add_error(const std::string& where, const std::string& what) {
+    if (++error_count <= max_reported_errors) reported_errors.push_back(where + ": " + what);
 }
 
 std::string Validator::reason() const {
-    std::string all;
-    for (auto& one : told) all += (all.empty() ? "" : "; ") + one;
-    if (faults > most_told) all += "; and " + std::to_string(faults - most_told) + " more faults";
-    return all;
+    std::string text;
+    for (auto& error : reported_errors) text += (text.empty() ? "" : "; ") + error;
+    if (error_count > max_reported_errors)
+        text += "; and " + std::to_string(error_count - max_reported_errors) + " more errors";
+    return text;
 }
 
 bool Validator::add_dependencies(const std::string& name, const auto& message) {
     for (auto& need : message.needs()) {
         auto kind = discovery::kind_of(need.type_url());
         if (!kind)
-            fault(cited(name), "needs a resource of the unknown type " + cited(need.type_url()));
+            add_error(quoted(name), "needs a resource of the unknown type " + quoted(need.type_url()));
         else
-            checked->dependencies.push_back({*kind, need.name()});
+            validated->dependencies.push_back({*kind, need.name()});
     }
     return true;
 }
 
-// Rules are one text, the resources' in the order of their names.
+// The texts of all resources form one rule file, concatenated in the order of the resources' names.
 bool Validator::step_rules(int statements) {
     if (!rules) {
-        std::string all;
-        for (auto& [name, item] : checked->bundle.items) {
+        std::string text;
+        for (auto& [name, item] : validated->bundle.items) {
             wire::Rules message;
             if (!message.ParseFromString(item->bytes)) {
-                fault(cited(name), "is no message of kind Rules");
+                add_error(quoted(name), "can't be parsed as a message of kind Rules");
                 return done = true;
             }
             add_dependencies(name, message);
-            all += message.text();
-            if (!all.ends_with('\n')) all += '\n';
+            text += message.text();
+            if (!text.ends_with('\n')) text += '\n';
         }
-        std::sort(checked->dependencies.begin(), checked->dependencies.end());
-        if (before && before->bundle.digest == checked->bundle.digest) {
-            checked->rules = before->rules;
+        std::sort(validated->dependencies.begin(), validated->dependencies.end());
+        if (active && active->bundle.digest == validated->bundle.digest) {
+            validated->rules = active->rules;
             return done = true;
         }
-        rules.emplace(std::move(all), limits.rule_site, limits.rule_budget);
+        rules.emplace(std::move(text), limits.rule_site, limits.rule_budget);
     }
     if (!rules->step(statements)) return false;
-    for (auto& one : rules->faults())
-        fault("line " + std::to_string(one.place.line) + ", column " + std::to_string(one.place.column),
-              one.what);
-    checked->rules = rules->result();
+    for (auto& fault : rules->faults())
+        add_error(
+            "line " + std::to_string(fault.place.line) + ", column " + std::to_string(fault.place.column),
+            fault.what);
+    validated->rules = rules->result();
     rules.reset();
     return done = true;
 }
 
 bool Validator::step(int boxes) {
-    if (checked->bundle.kind == Kind::Rules && !done) return step_rules(std::max(1, boxes / 4));
-    auto& items = checked->bundle.items;
+    if (validated->bundle.kind == Kind::Rules && !done) return step_rules(std::max(1, boxes / 4));
+    auto& items = validated->bundle.items;
     while (!done && boxes > 0) {
-        if (reading) {
-            if (next < raw.size()) {
-                read_box(raw[next++]);
+        if (parsing) {
+            if (next_box < raw_boxes.size()) {
+                parse_box(raw_boxes[next_box++]);
                 boxes--;
             } else {
                 finish_item();
-                at++;
+                current_item++;
             }
-        } else if (at == items.end()) {
+        } else if (current_item == items.end()) {
             auto by_id = [](auto& a, auto& b) { return a.entry.id < b.entry.id; };
-            std::sort(checked->endpoints.begin(), checked->endpoints.end(), by_id);
-            std::sort(checked->dependencies.begin(), checked->dependencies.end());
+            std::sort(validated->endpoints.begin(), validated->endpoints.end(), by_id);
+            std::sort(validated->dependencies.begin(), validated->dependencies.end());
             done = true;
-        } else if (!begin(at->first, *at->second)) {
-            at++;
+        } else if (!begin_item(current_item->first, *current_item->second)) {
+            current_item++;
             boxes--;
         }
     }
     return done;
 }
 
-bool Validator::begin(const std::string& name, Item& item) {
-    if (checked->bundle.kind == Kind::Amounts) {
-        read_amounts(name, item);
+bool Validator::begin_item(const std::string& name, Item& item) {
+    if (validated->bundle.kind == Kind::Amounts) {
+        parse_amounts(name, item);
         return false;
     }
-    if (!item.read && before) {  // unchanged since the version in force
-        auto known = before->bundle.items.find(name);
-        if (known != before->bundle.items.end() && known->second->bytes == item.bytes)
-            item.read = known->second->read;
+    if (!item.parsed && active) {  // reuses the result if unchanged since the active version
+        auto known = active->bundle.items.find(name);
+        if (known != active->bundle.items.end() && known->second->bytes == item.bytes)
+            item.parsed = known->second->parsed;
     }
-    if (item.read) {
-        for (auto& endpoint : item.read->endpoints) add(endpoint, "boxes of '" + name + "'");
-        add_dependencies(*item.read);
+    if (item.parsed) {
+        for (auto& endpoint : item.parsed->endpoints) add_endpoint(endpoint, "boxes of '" + name + "'");
+        add_dependencies(*item.parsed);
         return false;
     }
     wire::RawBoxes message;
     if (!message.ParseFromString(item.bytes)) {
-        fault(cited(name), "is no message of kind Boxes");
+        add_error(quoted(name), "can't be parsed as a message of kind Boxes");
         return false;
     }
-    reading = std::make_shared<ParsedBoxes>();
+    parsing = std::make_shared<ParsedBoxes>();
     for (auto& zone : message.emptied()) {
-        int place = place_of(zone, limits.terms.zones);
-        if (place < 0)
-            fault(cited(name),
-                  "'emptied' names " + cited(zone) + "; zones here: " + listed(limits.terms.zones));
+        int index = index_of(zone, limits.terms.zones);
+        if (index < 0)
+            add_error(quoted(name),
+                      "'emptied' names " + quoted(zone) + "; zones here: " + joined(limits.terms.zones));
         else
-            reading->emptied_zones.push_back(place);
+            parsing->emptied_zones.push_back(index);
     }
     for (auto& need : message.needs()) {
         auto kind = discovery::kind_of(need.type_url());
         if (!kind)
-            fault(cited(name), "needs a resource of the unknown type " + cited(need.type_url()));
+            add_error(quoted(name), "needs a resource of the unknown type " + quoted(need.type_url()));
         else
-            reading->dependencies.push_back({*kind, need.name()});
+            parsing->dependencies.push_back({*kind, need.name()});
     }
-    raw.clear();
-    raw.reserve(static_cast<std::size_t>(message.boxes_size()));
-    for (auto& box : *message.mutable_boxes()) raw.push_back(std::move(box));
-    next = 0;
-    reading->endpoints.reserve(raw.size());
+    raw_boxes.clear();
+    raw_boxes.reserve(static_cast<std::size_t>(message.boxes_size()));
+    for (auto& box : *message.mutable_boxes()) raw_boxes.push_back(std::move(box));
+    next_box = 0;
+    parsing->endpoints.reserve(raw_boxes.size());
     return true;
 }
 
 void Validator::finish_item() {
-    add_dependencies(*reading);
-    at->second->read = std::move(reading);
-    reading = nullptr;
-    raw = {};
+    add_dependencies(*parsing);
+    current_item->second->parsed = std::move(parsing);
+    parsing = nullptr;
+    raw_boxes = {};
 }
 
-void Validator::add_dependencies(const ParsedBoxes& read) {
-    checked->dependencies.insert(checked->dependencies.end(), read.dependencies.begin(),
-                                 read.dependencies.end());
-    checked->emptied_zones.insert(checked->emptied_zones.end(), read.emptied_zones.begin(),
-                                  read.emptied_zones.end());
+void Validator::add_dependencies(const ParsedBoxes& parsed) {
+    validated->dependencies.insert(validated->dependencies.end(), parsed.dependencies.begin(),
+                                   parsed.dependencies.end());
+    validated->emptied_zones.insert(validated->emptied_zones.end(), parsed.emptied_zones.begin(),
+                                    parsed.emptied_zones.end());
 }
 
-void Validator::read_box(const std::string& bytes) {
+void Validator::parse_box(const std::string& bytes) {
     wire::Box box;
-    auto where = "box " + std::to_string(next) + " of " + cited(at->first);
-    if (!box.ParseFromString(bytes)) return fault(where, "is no message of kind Box");
-    where += " (" + cited(box.id()) + ")";
+    auto where = "box " + std::to_string(next_box) + " of " + quoted(current_item->first);
+    if (!box.ParseFromString(bytes)) return add_error(where, "can't be parsed as a message of kind Box");
+    where += " (" + quoted(box.id()) + ")";
     feed::Endpoint endpoint;
     auto& entry = endpoint.entry;
     auto id =
         box.id().starts_with("s-") ? bytes::read_hex(std::string_view(box.id()).substr(2), 8) : std::nullopt;
-    if (!id) return fault(where, "its id is not s- and 8 lower-case hex digits");
+    if (!id) return add_error(where, "its id is not s- and 8 lower-case hex digits");
     entry.id = *id;
     try {
         auto address = feed::read_address(box.address());
         endpoint.address = address.host;
         endpoint.port = address.port;
     } catch (const site::Unusable&) {
-        return fault(where, "its address " + cited(box.address()) + " is not of the form 10.1.0.9:5050");
+        return add_error(where, "its address " + quoted(box.address()) + " is not of the form 10.1.0.9:5050");
     }
-    if (endpoint.port == 0) return fault(where, "its port is 0");
-    entry.zone = place_of(box.zone(), limits.terms.zones);
+    if (endpoint.port == 0) return add_error(where, "its port is 0; 1 to 65535 is expected");
+    entry.zone = index_of(box.zone(), limits.terms.zones);
     if (entry.zone < 0)
-        return fault(where, "zone " + cited(box.zone()) + "; zones here: " + listed(limits.terms.zones));
-    entry.kind = place_of(box.kind(), limits.terms.kinds);
+        return add_error(where, "zone " + quoted(box.zone()) + "; zones here: " + joined(limits.terms.zones));
+    entry.kind = index_of(box.kind(), limits.terms.kinds);
     if (entry.kind < 0)
-        return fault(where, "kind " + cited(box.kind()) + "; kinds here: " + listed(limits.terms.kinds));
-    if (box.cell() > 65'535) return fault(where, "its cell is over 65535");
+        return add_error(where, "kind " + quoted(box.kind()) + "; kinds here: " + joined(limits.terms.kinds));
+    if (box.cell() > 65'535) return add_error(where, "its cell is over 65535");
     entry.cell = static_cast<int>(box.cell());
-    if (box.state() < 0 || box.state() > 2) return fault(where, "its state is none of READY, DRAINING, GONE");
+    if (box.state() < 0 || box.state() > 2)
+        return add_error(where, "its state is not READY, DRAINING or GONE");
     static constexpr std::array states = {Listed::Ready, Listed::Draining, Listed::Gone};
     entry.listed = states[static_cast<std::size_t>(box.state())];
-    if (!(box.weight() >= 0 && box.weight() <= most_weight))
-        return fault(where, "its weight is out of range");
+    if (!(box.weight() >= 0 && box.weight() <= max_weight))
+        return add_error(where, "its weight is not from 0 to 1e9");
     entry.rating = box.weight() > 0 ? box.weight() : 1;
-    if (box.started_ms() < 0 || box.started_ms() > latest_ms)
-        return fault(where, "its start is out of range");
-    entry.started = box.started_ms() * ms;
-    reading->endpoints.push_back(endpoint);
-    add(endpoint, where);
+    if (box.started_ms() < 0 || box.started_ms() > max_started_ms)
+        return add_error(where, "its started_ms is not from 0 to 2^50");
+    entry.started = box.started_ms() * millisecond;
+    parsing->endpoints.push_back(endpoint);
+    add_endpoint(endpoint, where);
 }
 
-void Validator::add(const feed::Endpoint& endpoint, const std::string& where) {
+void Validator::add_endpoint(const feed::Endpoint& endpoint, const std::string& where) {
     if (!ids.insert(endpoint.entry.id).second)
-        return fault(where, "id " + id_text(endpoint.entry.id) + " stands there twice");
+        return add_error(where, "id " + id_text(endpoint.entry.id) + " appears twice in this version");
     if (endpoint.entry.listed != Listed::Gone) {
-        auto [other, fresh] =
-            places.try_emplace(std::uint64_t{endpoint.address} << 16 | endpoint.port, endpoint.entry.id);
-        if (!fresh)
-            return fault(where, id_text(endpoint.entry.id) + " has the address of " + id_text(other->second));
+        auto [other, inserted] =
+            addresses.try_emplace(std::uint64_t{endpoint.address} << 16 | endpoint.port, endpoint.entry.id);
+        if (!inserted)
+            return add_error(where,
+                             id_text(endpoint.entry.id) + " has the address of " + id_text(other->second));
     }
-    checked->endpoints.push_back(endpoint);
+    validated->endpoints.push_back(endpoint);
 }
 
-void Validator::read_amounts(const std::string& name, const Item& item) {
+void Validator::parse_amounts(const std::string& name, const Item& item) {
     wire::Amounts message;
-    if (!message.ParseFromString(item.bytes)) return fault(cited(name), "is no message of kind Amounts");
-    auto& amounts = checked->amounts;
-    auto take = [&](const char* member, bool told, auto value, auto least, auto most, auto& into) {
-        if (!told) return;
-        if (into) return fault(cited(name), std::string(member) + " is told by another resource too");
-        if (value < least || value > most)
-            return fault(cited(name), std::string(member) + " is " + std::to_string(value) + "; " +
-                                          std::to_string(least) + " to " + std::to_string(most) +
-                                          " is allowed here");
+    if (!message.ParseFromString(item.bytes))
+        return add_error(quoted(name), "can't be parsed as a message of kind Amounts");
+    auto& amounts = validated->amounts;
+    auto read_value = [&](const char* member, bool present, auto value, auto min_value, auto max_value,
+                          auto& into) {
+        if (!present) return;
+        if (into) return add_error(quoted(name), std::string(member) + " is set by another resource too");
+        if (value < min_value || value > max_value)
+            return add_error(quoted(name), std::string(member) + " is " + std::to_string(value) + "; " +
+                                               std::to_string(min_value) + " to " +
+                                               std::to_string(max_value) + " is allowed here");
         into = value;
     };
-    take("transmissions", message.has_transmissions(), static_cast<std::int64_t>(message.transmissions()),
-         std::int64_t{1}, std::int64_t{limits.max_attempts}, amounts.attempts);
-    take("connect_timeout_us", message.has_connect_timeout_us(), Micros{message.connect_timeout_us()},
-         std::min(least_connect_time, limits.terms.connect_time), limits.terms.connect_time,
-         amounts.connect_timeout);
-    take("idle_us", message.has_idle_us(), Micros{message.idle_us()},
-         std::min(least_idle_time, limits.terms.idle_time), limits.terms.idle_time, amounts.idle_timeout);
-    take("come_back_us", message.has_come_back_us(), Micros{message.come_back_us()}, Micros{0},
-         limits.max_retry_after, amounts.max_retry_after);
+    read_value("transmissions", message.has_transmissions(),
+               static_cast<std::int64_t>(message.transmissions()), std::int64_t{1},
+               std::int64_t{limits.max_attempts}, amounts.attempts);
+    read_value("connect_timeout_us", message.has_connect_timeout_us(), Micros{message.connect_timeout_us()},
+               std::min(min_connect_timeout, limits.terms.connect_time), limits.terms.connect_time,
+               amounts.connect_timeout);
+    read_value("idle_us", message.has_idle_us(), Micros{message.idle_us()},
+               std::min(min_idle_timeout, limits.terms.idle_time), limits.terms.idle_time,
+               amounts.idle_timeout);
+    read_value("come_back_us", message.has_come_back_us(), Micros{message.come_back_us()}, Micros{0},
+               limits.max_retry_after, amounts.max_retry_after);
     if (message.has_second_copies()) {
         if (message.second_copies() && !limits.second_copies_allowed)
-            fault(cited(name), "second_copies is true, which the settings do not allow");
+            add_error(quoted(name), "second_copies is true, which the settings do not allow");
         else if (amounts.second_copies)
-            fault(cited(name), "second_copies is told by another resource too");
+            add_error(quoted(name), "second_copies is set by another resource too");
         else
             amounts.second_copies = message.second_copies();
     }
--- a/src/version/check.hpp
+++ b/src/version/check.hpp
@@ -1,5 +1,10 @@
-// Checks a bundle a slice at a time, so that thousands of boxes hold up no lookup. What stands unchanged in
-// the version in force is not read again. All faults are counted, the first few are told.
+// Validates a bundle in slices, so that a version with thousands of boxes does not delay lookups. A resource
+// that is unchanged since the active version is not parsed again. All errors are counted; the first few are
+// reported in full.
+//
+//   Validator validator(std::move(bundle), active_version, limits);
+//   while (!validator.step(256)) serve_lookups();
+//   if (!validator.passed()) reject(validator.reason());
 #pragma once
 
 #include <unordered_map>
@@ -11,38 +16,39 @@
 
 class Validator {
 public:
-    // `before`: what is in force of that kind, or null. Neither needs to outlive the check but `allowed`.
-    Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> before, const ConfiguredLimits& limits);
-    // Reads about `boxes` more boxes; true once all is done.
+    // `active`: the active version of that kind, or null. `limits` must outlive the validator.
+    Validator(Bundle bundle, std::shared_ptr<const ValidatedBundle> active, const ConfiguredLimits& limits);
+    // Processes about `boxes` more boxes; true once validation is complete.
     bool step(int boxes);
-    bool passed() const { return faults == 0; }
-    std::string reason() const;  // where it has not passed
-    std::shared_ptr<const ValidatedBundle> result() { return checked; }
-    const Bundle& bundle() const { return checked->bundle; }
+    bool passed() const { return error_count == 0; }
+    std::string reason() const;  // why validation failed
+    std::shared_ptr<const ValidatedBundle> result() { return validated; }
+    const Bundle& bundle() const { return validated->bundle; }
 
 private:
-    void fault(const std::string& where, const std::string& what);
-    bool begin(const std::string& name, Item& item);  // false: done with it already
-    void read_box(const std::string& bytes);
-    void add(const feed::Endpoint& endpoint, const std::string& where);
+    void add_error(const std::string& where, const std::string& what);
+    bool begin_item(const std::string& name, Item& item);  // false: the item needs no further steps
+    void parse_box(const std::string& bytes);
+    void add_endpoint(const feed::Endpoint& endpoint, const std::string& where);
     void finish_item();
-    void read_amounts(const std::string& name, const Item& item);
-    void add_dependencies(const ParsedBoxes& read);
+    void parse_amounts(const std::string& name, const Item& item);
+    void add_dependencies(const ParsedBoxes& parsed);
     bool add_dependencies(const std::string& name, const auto& message);
     bool step_rules(int statements);
 
     const ConfiguredLimits& limits;
-    std::shared_ptr<const ValidatedBundle> before;
-    std::shared_ptr<ValidatedBundle> checked;
-    Items::iterator at;
-    std::shared_ptr<ParsedBoxes> reading;  // of the item at `at`
-    std::vector<std::string> raw;          // its boxes, not read yet from `next` on
-    std::size_t next = 0;
-    std::optional<route::Loader> rules;  // of kind Rules: the texts of all items, one after another
+    std::shared_ptr<const ValidatedBundle> active;
+    std::shared_ptr<ValidatedBundle> validated;
+    Items::iterator current_item;
+    std::shared_ptr<ParsedBoxes> parsing;  // of `current_item`; null between items
+    std::vector<std::string> raw_boxes;    // of `current_item`, parsed up to `next_box`
+    std::size_t next_box = 0;
+    std::optional<route::Loader> rules;  // of kind Rules: the concatenated texts of all items
     std::unordered_set<CacheId> ids;
-    std::unordered_map<std::uint64_t, CacheId> places;  // address and port of what is not gone
-    std::vector<std::string> told;
-    int faults = 0;
+    std::unordered_map<std::uint64_t, CacheId>
+        addresses;  // address and port of each endpoint that is not gone
+    std::vector<std::string> reported_errors;
+    int error_count = 0;
     bool done = false;
 };
 
--- a/src/version/ledger.cpp
+++ b/src/version/ledger.cpp
@@ -8,305 +8,325 @@
 
 namespace {
 
-constexpr int slice = 256;  // boxes that are checked before others have their turn
-constexpr std::size_t most_identities = 8, most_rolled_back = 32;
-constexpr std::size_t most_owed = 4096;  // nonces of changes that were taken together
-constexpr Micros second = 1'000'000, longest_staged = 30 * second;
+constexpr int boxes_per_step = 256;  // limits the time that one step keeps the event loop
+constexpr std::size_t max_identities = 8, max_rolled_back = 32;
+constexpr std::size_t max_pending_nonces = 4096;  // of incremental responses that were merged
+constexpr Micros second = 1'000'000, staged_timeout = 30 * second;
 
-std::string cited(const Bundle& bundle) {
-    return std::string(discovery::name_of(bundle.kind)) + " " + bundle.text + " of '" + bundle.identity + "'";
+std::string version_name(const Bundle& bundle) {
+    return std::string(discovery::name_of(bundle.kind)) + " " + bundle.version_text + " of '" +
+           bundle.identity + "'";
 }
 
 }  // namespace
 
-VersionManager::VersionManager(ConfiguredLimits limits, std::vector<Kind> taken, const Canary::Terms& trial)
-    : limits(std::move(limits)), taken(std::move(taken)), trial(trial) {}
+VersionManager::VersionManager(ConfiguredLimits limits, std::vector<Kind> accepted_kinds,
+                               const Canary::Terms& terms)
+    : limits(std::move(limits)), accepted_kinds(std::move(accepted_kinds)), canary(terms) {}
 
-std::optional<std::string> VersionManager::restore(const std::vector<Bundle>& kept) {
+std::optional<std::string> VersionManager::restore(const std::vector<Bundle>& stored) {
     VersionSet set;
-    for (auto& bundle : kept) {
-        if (std::find(taken.begin(), taken.end(), bundle.kind) == taken.end()) continue;
-        Validator check(bundle, nullptr, limits);
-        while (!check.step(slice)) {
+    for (auto& bundle : stored) {
+        if (std::find(accepted_kinds.begin(), accepted_kinds.end(), bundle.kind) == accepted_kinds.end())
+            continue;
+        Validator validator(bundle, nullptr, limits);
+        while (!validator.step(boxes_per_step)) {
         }
-        if (!check.passed()) return cited(bundle) + ": " + check.reason();
-        set[static_cast<std::size_t>(bundle.kind)] = check.result();
+        if (!validator.passed()) return version_name(bundle) + ": " + validator.reason();
+        set[static_cast<std::size_t>(bundle.kind)] = validator.result();
     }
-    if (auto lacking = missing(set)) return *lacking;
-    force = settled = set;
-    for (auto& one : force)
-        if (one) note_newest(slot_of(one->bundle.kind), one->bundle.identity, one->bundle.number);
+    if (auto missing = missing_dependency(set)) return *missing;
+    active_set = settled = set;
+    for (auto& version : active_set)
+        if (version)
+            record_number(slot_of(version->bundle.kind), version->bundle.identity, version->bundle.number);
     return {};
 }
 
 Phase VersionManager::phase(Kind kind) const {
     auto& slot = slots[static_cast<std::size_t>(kind)];
-    if (slot.candidate) return slot.candidate->checked ? Phase::Staged : Phase::Validating;
-    return slot.waiting ? Phase::Queued : Phase::None;
+    if (slot.candidate) return slot.candidate->validated ? Phase::Staged : Phase::Validating;
+    return slot.queued ? Phase::Queued : Phase::None;
 }
 
 std::string VersionManager::identity(Kind kind) const {
-    return version_of(force, kind) ? version_of(force, kind)->bundle.identity : "";
+    return version_of(active_set, kind) ? version_of(active_set, kind)->bundle.identity : "";
 }
 
-std::optional<std::uint64_t> VersionManager::newest(const Slot& slot, const std::string& identity) {
-    std::optional<std::uint64_t> most;
-    auto consider = [&](const std::string& who, std::uint64_t number) {
-        if (who == identity && (!most || number > *most)) most = number;
+std::optional<std::uint64_t> VersionManager::highest_number(const Slot& slot, const std::string& identity) {
+    std::optional<std::uint64_t> highest;
+    auto consider = [&](const std::string& candidate_identity, std::uint64_t number) {
+        if (candidate_identity == identity && (!highest || number > *highest)) highest = number;
     };
-    for (auto& [who, number] : slot.newest) consider(who, number);
-    if (slot.waiting) consider(slot.waiting->head.identity, slot.waiting->head.number);
-    if (slot.candidate) consider(slot.candidate->told.head.identity, slot.candidate->told.head.number);
-    return most;
+    for (auto& [known_identity, number] : slot.highest_numbers) consider(known_identity, number);
+    if (slot.queued) consider(slot.queued->header.identity, slot.queued->header.number);
+    if (slot.candidate)
+        consider(slot.candidate->received.header.identity, slot.candidate->received.header.number);
+    return highest;
 }
 
-// Only so many identities are remembered, else a service that restarts often would fill memory.
-void VersionManager::note_newest(Slot& slot, const std::string& identity, std::uint64_t number) {
-    auto known = std::find_if(slot.newest.begin(), slot.newest.end(),
+// The number of identities is bounded: a service that takes a new identity at each restart would otherwise
+// fill the memory.
+void VersionManager::record_number(Slot& slot, const std::string& identity, std::uint64_t number) {
+    auto known = std::find_if(slot.highest_numbers.begin(), slot.highest_numbers.end(),
                               [&](auto& one) { return one.first == identity; });
-    if (known != slot.newest.end()) {
+    if (known != slot.highest_numbers.end()) {
         number = std::max(number, known->second);
-        slot.newest.erase(known);
+        slot.highest_numbers.erase(known);
     }
-    slot.newest.emplace_back(identity, number);
-    if (slot.newest.size() > most_identities) slot.newest.pop_front();
+    slot.highest_numbers.emplace_back(identity, number);
+    if (slot.highest_numbers.size() > max_identities) slot.highest_numbers.pop_front();
 }
 
-// Why a version can't even be checked, if so. One that is in force already is nothing to refuse.
-std::optional<std::string> VersionManager::refusal(Slot& slot, const Told& told) {
-    auto& head = told.head;
-    for (auto& back : rolled_back)
-        if (back.kind == head.kind && back.identity == head.identity && back.number == head.number &&
-            (told.form == discovery::Form::Changes || back.digest == told.digest))
-            return "was taken back before, as " + back.reason + "; publish under a new number to try again";
-    auto& in_force = version_of(force, head.kind);
-    bool running = in_force && in_force->bundle.identity == head.identity &&
-                   in_force->bundle.number == head.number;  // also after a newer one was rolled back
-    auto latest = newest(slot, head.identity);
-    if (!running && latest && head.number < *latest)
-        return "is older than " + std::to_string(*latest) + " of '" + head.identity +
-               "'; a return to earlier contents wants a new number";
-    if (told.form == discovery::Form::Changes) return {};
-    auto other = [&](const Bundle& known, std::uint64_t digest) {
-        return known.identity == head.identity && known.number == head.number && digest != told.digest;
+// Why a version is rejected without validation; empty: it is not. The active version is never rejected when
+// it is sent again.
+std::optional<std::string> VersionManager::rejection_reason(Slot& slot, const ReceivedVersion& received) {
+    auto& header = received.header;
+    for (auto& former : rolled_back)
+        if (former.kind == header.kind && former.identity == header.identity &&
+            former.number == header.number &&
+            (received.form == discovery::Form::Changes || former.digest == received.digest))
+            return "was rolled back before, as " + former.reason +
+                   "; publish under a new number to try again";
+    auto& active_version = version_of(active_set, header.kind);
+    bool is_active =
+        active_version && active_version->bundle.identity == header.identity &&
+        active_version->bundle.number == header.number;  // also after a newer one was rolled back
+    auto latest = highest_number(slot, header.identity);
+    if (!is_active && latest && header.number < *latest)
+        return "is older than " + std::to_string(*latest) + " of '" + header.identity +
+               "'; a return to earlier contents needs a new number";
+    if (received.form == discovery::Form::Changes) return {};
+    auto contents_differ = [&](const Bundle& known, std::uint64_t digest) {
+        return known.identity == header.identity && known.number == header.number &&
+               digest != received.digest;
     };
-    if ((in_force && other(in_force->bundle, in_force->bundle.digest)) ||
-        (slot.waiting && other(slot.waiting->head, slot.waiting->digest)) ||
-        (slot.candidate && other(slot.candidate->told.head, slot.candidate->told.digest)))
-        return "was told before with other contents; new contents want a new number";
+    if ((active_version && contents_differ(active_version->bundle, active_version->bundle.digest)) ||
+        (slot.queued && contents_differ(slot.queued->header, slot.queued->digest)) ||
+        (slot.candidate && contents_differ(slot.candidate->received.header, slot.candidate->received.digest)))
+        return "was received before with other contents; new contents need a new number";
     return {};
 }
 
-void VersionManager::receive(StreamId stream, discovery::Offer offer, bool afresh, Micros /*now*/) {
-    counted.received++;
-    bool known = offer.kind && std::find(taken.begin(), taken.end(), *offer.kind) != taken.end();
-    if (!known || !offer.fault.empty()) {
-        counted.turned_down++;
-        auto reason = !offer.fault.empty() ? offer.fault
-                                           : std::string(discovery::name_of(*offer.kind)) +
-                                                 " are not taken by this router, see 'kinds' of its file";
-        lines.push_back("version '" + offer.text + "' of '" + offer.identity + "' turned down: " + reason);
-        answer({{stream, offer.nonce}}, offer.kind.value_or(Kind::Boxes), offer.type_url, reason);
+void VersionManager::receive(StreamId stream, discovery::Offer offer, bool initial, Micros /*now*/) {
+    totals.received++;
+    bool accepted = offer.kind && std::find(accepted_kinds.begin(), accepted_kinds.end(), *offer.kind) !=
+                                      accepted_kinds.end();
+    if (!accepted || !offer.fault.empty()) {
+        totals.rejected++;
+        auto reason = !offer.fault.empty()
+                          ? offer.fault
+                          : std::string(discovery::name_of(*offer.kind)) +
+                                " are not accepted by this router; see 'kinds' in its operators' file";
+        log_lines.push_back("version '" + offer.text + "' of '" + offer.identity + "' rejected: " + reason);
+        queue_replies({{stream, offer.nonce}}, offer.kind.value_or(Kind::Boxes), offer.type_url, reason);
         return;
     }
     auto& slot = slot_of(*offer.kind);
-    Told told;
-    told.head.kind = *offer.kind;
-    told.head.identity = offer.identity;
-    told.head.text = offer.text;
-    told.head.number = offer.number;
-    told.form = offer.form;
-    told.afresh = afresh || offer.form == discovery::Form::Whole;
-    told.owed = {{stream, offer.nonce}};
+    ReceivedVersion received;
+    received.header.kind = *offer.kind;
+    received.header.identity = offer.identity;
+    received.header.version_text = offer.text;
+    received.header.number = offer.number;
+    received.form = offer.form;
+    received.is_full_state = initial || offer.form == discovery::Form::Whole;
+    received.pending_nonces = {{stream, offer.nonce}};
     for (auto& resource : offer.resources) {
         auto item = std::make_shared<Item>();
         item->label = std::move(resource.label);
         item->bytes = std::move(resource.bytes);
-        told.changes[resource.name] = std::move(item);
+        received.changes[resource.name] = std::move(item);
     }
-    for (auto& name : offer.removed) told.changes[name] = nullptr;
-    if (told.form == discovery::Form::Whole) told.digest = digest_of(told.changes);
+    for (auto& name : offer.removed) received.changes[name] = nullptr;
+    if (received.form == discovery::Form::Whole) received.digest = digest_of(received.changes);
 
-    if (auto reason = refusal(slot, told)) return turn_down(told, *reason);
-    auto same = [&](const Bundle& head, std::uint64_t digest) {
-        return told.form == discovery::Form::Whole && head.identity == told.head.identity &&
-               head.number == told.head.number && digest == told.digest;
+    if (auto reason = rejection_reason(slot, received)) return reject(received, *reason);
+    auto same = [&](const Bundle& known, std::uint64_t digest) {
+        return received.form == discovery::Form::Whole && known.identity == received.header.identity &&
+               known.number == received.header.number && digest == received.digest;
     };
-    auto& now = version_of(force, told.head.kind);
-    if (now && same(now->bundle, now->bundle.digest) && !slot.waiting && !slot.candidate) {
-        counted.repeated++;
-        std::tie(slot.stream, slot.nonce) = told.owed.back();
-        return answer(told.owed, told.head.kind, "", {});
+    auto& active_version = version_of(active_set, received.header.kind);
+    if (active_version && same(active_version->bundle, active_version->bundle.digest) && !slot.queued &&
+        !slot.candidate) {
+        totals.repeated++;
+        std::tie(slot.stream, slot.nonce) = received.pending_nonces.back();
+        return queue_replies(received.pending_nonces, received.header.kind, "", {});
     }
-    // A copy of what is under way is answered together with it.
-    if (slot.waiting && same(slot.waiting->head, slot.waiting->digest)) {
-        counted.repeated++;
-        slot.waiting->owed = told.owed;
+    // A repetition of a version that is queued or validating is replied to together with it.
+    if (slot.queued && same(slot.queued->header, slot.queued->digest)) {
+        totals.repeated++;
+        slot.queued->pending_nonces = received.pending_nonces;
         return;
     }
-    if (!slot.waiting && slot.candidate && same(slot.candidate->told.head, slot.candidate->told.digest)) {
-        counted.repeated++;
-        slot.candidate->told.owed = told.owed;
+    if (!slot.queued && slot.candidate &&
+        same(slot.candidate->received.header, slot.candidate->received.digest)) {
+        totals.repeated++;
+        slot.candidate->received.pending_nonces = received.pending_nonces;
         return;
     }
-    // Pending versions collapse to the newest. Changes build on those before them, whose nonces are owed too.
-    if (slot.waiting) {
-        counted.overtaken++;
-        if (!told.afresh && slot.waiting->form == discovery::Form::Changes) {
-            for (auto& [name, item] : told.changes) slot.waiting->changes[name] = item;
-            auto owed = std::move(slot.waiting->owed);
-            owed.insert(owed.end(), told.owed.begin(), told.owed.end());
-            if (owed.size() > most_owed) owed.erase(owed.begin());
-            told.changes = std::move(slot.waiting->changes);
-            told.afresh = slot.waiting->afresh;
-            told.owed = std::move(owed);
+    // A newer version replaces the queued one. Incremental changes are merged into it, and the nonces of both
+    // need a reply.
+    if (slot.queued) {
+        totals.superseded++;
+        if (!received.is_full_state && slot.queued->form == discovery::Form::Changes) {
+            for (auto& [name, item] : received.changes) slot.queued->changes[name] = item;
+            auto pending_nonces = std::move(slot.queued->pending_nonces);
+            pending_nonces.insert(pending_nonces.end(), received.pending_nonces.begin(),
+                                  received.pending_nonces.end());
+            if (pending_nonces.size() > max_pending_nonces) pending_nonces.erase(pending_nonces.begin());
+            received.changes = std::move(slot.queued->changes);
+            received.is_full_state = slot.queued->is_full_state;
+            received.pending_nonces = std::move(pending_nonces);
         }
     }
-    slot.waiting = std::move(told);
+    slot.queued = std::move(received);
 }
 
 bool VersionManager::has_work() const {
-    if (!proposed.empty()) return false;
-    return staged_changed || trial.now_at() == Canary::State::Failed ||
+    if (!proposed_kinds.empty()) return false;
+    return staged_changed || canary.current_state() == Canary::State::Failed ||
            std::any_of(slots.begin(), slots.end(), [](auto& slot) {
-               return slot.waiting || (slot.candidate && !slot.candidate->checked);
+               return slot.queued || (slot.candidate && !slot.candidate->validated);
            });
 }
 
-// What waits is taken up: it replaces a version that is staged, which it has overtaken.
-void VersionManager::promote(Slot& slot, Micros now) {
-    auto told = std::move(*slot.waiting);
-    slot.waiting.reset();
-    Candidate next;
-    next.since = now;
+// The queued version becomes the candidate. It supersedes one that is staged.
+void VersionManager::start_validation(Slot& slot, Micros now) {
+    auto received = std::move(*slot.queued);
+    slot.queued.reset();
+    Candidate candidate;
+    candidate.since = now;
     if (slot.candidate) {
-        counted.overtaken++;
-        next.since = slot.candidate->since;
-        if (!told.afresh) {
-            auto changes = std::move(slot.candidate->told.changes);
-            for (auto& [name, item] : told.changes) changes[name] = item;
-            told.changes = std::move(changes);
-            told.afresh = slot.candidate->told.afresh;
-            told.owed.insert(told.owed.begin(), slot.candidate->told.owed.begin(),
-                             slot.candidate->told.owed.end());
+        totals.superseded++;
+        candidate.since = slot.candidate->since;
+        if (!received.is_full_state) {
+            auto changes = std::move(slot.candidate->received.changes);
+            for (auto& [name, item] : received.changes) changes[name] = item;
+            received.changes = std::move(changes);
+            received.is_full_state = slot.candidate->received.is_full_state;
+            received.pending_nonces.insert(received.pending_nonces.begin(),
+                                           slot.candidate->received.pending_nonces.begin(),
+                                           slot.candidate->received.pending_nonces.end());
         }
     }
-    auto& before = version_of(force, told.head.kind);
-    Bundle bundle = told.head;
-    if (!told.afresh && before) bundle.items = before->bundle.items;
-    for (auto& [name, item] : told.changes) {
+    auto& active_version = version_of(active_set, received.header.kind);
+    Bundle bundle = received.header;
+    if (!received.is_full_state && active_version) bundle.items = active_version->bundle.items;
+    for (auto& [name, item] : received.changes) {
         if (item)
             bundle.items[name] = item;
         else
             bundle.items.erase(name);
     }
     bundle.digest = digest_of(bundle.items);
-    next.check = std::make_unique<Validator>(std::move(bundle), before, limits);
-    next.told = std::move(told);
-    slot.candidate = std::move(next);
+    candidate.validator = std::make_unique<Validator>(std::move(bundle), active_version, limits);
+    candidate.received = std::move(received);
+    slot.candidate = std::move(candidate);
 }
 
-void VersionManager::work(Slot& slot, Micros /*now*/) {
+void VersionManager::continue_validation(Slot& slot, Micros /*now*/) {
     auto& candidate = *slot.candidate;
-    if (!candidate.check->step(slice)) return;
-    if (candidate.check->passed()) {
-        candidate.checked = candidate.check->result();
-        candidate.check.reset();
+    if (!candidate.validator->step(boxes_per_step)) return;
+    if (candidate.validator->passed()) {
+        candidate.validated = candidate.validator->result();
+        candidate.validator.reset();
         staged_changed = true;
         return;
     }
-    auto told = std::move(candidate.told);
-    auto reason = candidate.check->reason();
+    auto received = std::move(candidate.received);
+    auto reason = candidate.validator->reason();
     slot.candidate.reset();
-    turn_down(told, reason);
+    reject(received, reason);
 }
 
-std::optional<std::string> VersionManager::missing(const VersionSet& set) {
-    for (auto& one : set) {
-        if (!one) continue;
-        for (auto& need : one->dependencies) {
-            auto& there = version_of(set, need.kind);
-            if (!there || !there->bundle.items.contains(need.name))
-                return cited(one->bundle) + " needs " + std::string(discovery::name_of(need.kind)) + " '" +
-                       need.name.substr(0, 60) + "', which is not there";
+std::optional<std::string> VersionManager::missing_dependency(const VersionSet& set) {
+    for (auto& version : set) {
+        if (!version) continue;
+        for (auto& dependency : version->dependencies) {
+            auto& provider = version_of(set, dependency.kind);
+            if (!provider || !provider->bundle.items.contains(dependency.name))
+                return version_name(version->bundle) + " needs " +
+                       std::string(discovery::name_of(dependency.kind)) + " '" +
+                       dependency.name.substr(0, 60) + "', which is not there";
         }
     }
     return {};
 }
 
-// The largest group of staged versions with which nothing that is needed is missing.
-std::optional<Proposal> VersionManager::put_together(Micros now) {
+// The largest group of staged versions that can become active with no dependency missing.
+std::optional<Proposal> VersionManager::propose_staged(Micros now) {
     std::vector<Slot*> staged;
     for (auto& slot : slots)
-        if (slot.candidate && slot.candidate->checked) staged.push_back(&slot);
+        if (slot.candidate && slot.candidate->validated) staged.push_back(&slot);
     for (int size = static_cast<int>(staged.size()); size > 0; size--)
         for (unsigned mask = 1; mask < 1U << staged.size(); mask++) {
             if (std::popcount(mask) != size) continue;
-            VersionSet next = force;
+            VersionSet next = active_set;
             for (std::size_t i = 0; i < staged.size(); i++)
                 if (mask >> i & 1) {
-                    auto& checked = staged[i]->candidate->checked;
-                    next[static_cast<std::size_t>(checked->bundle.kind)] = checked;
+                    auto& validated = staged[i]->candidate->validated;
+                    next[static_cast<std::size_t>(validated->bundle.kind)] = validated;
                 }
-            if (missing(next)) continue;
+            if (missing_dependency(next)) continue;
             for (std::size_t i = 0; i < staged.size(); i++)
-                if (mask >> i & 1) proposed.push_back(staged[i]->candidate->told.head.kind);
+                if (mask >> i & 1) proposed_kinds.push_back(staged[i]->candidate->received.header.kind);
             return Proposal{next, settled, false};
         }
-    for (auto* slot : staged) {  // what goes on waiting for its needs does not do so for ever
-        if (now - slot->candidate->since < longest_staged) continue;
-        VersionSet alone = force;
-        alone[static_cast<std::size_t>(slot->candidate->told.head.kind)] = slot->candidate->checked;
-        auto told = std::move(slot->candidate->told);
+    for (auto* slot : staged) {  // a version does not wait for its dependencies for ever
+        if (now - slot->candidate->since < staged_timeout) continue;
+        VersionSet alone = active_set;
+        alone[static_cast<std::size_t>(slot->candidate->received.header.kind)] = slot->candidate->validated;
+        auto received = std::move(slot->candidate->received);
         slot->candidate.reset();
-        turn_down(told, missing(alone).value_or("something it needs is missing") + " after 30 s");
+        reject(received, missing_dependency(alone).value_or("a dependency is missing") + " after 30 s");
     }
     return {};
 }
 
 std::optional<Proposal> VersionManager::step(Micros now) {
-    if (!proposed.empty()) return {};
-    if (trial.now_at() == Canary::State::Failed) {
+    if (!proposed_kinds.empty()) return {};
+    if (canary.current_state() == Canary::State::Failed) {
         for (int kind = 0; kind < discovery::kinds; kind++)
-            if (force[static_cast<std::size_t>(kind)] != settled[static_cast<std::size_t>(kind)])
-                proposed.push_back(static_cast<Kind>(kind));
-        proposed_back = true;
-        if (!proposed.empty()) return Proposal{settled, settled, true};
-        trial.end();
+            if (active_set[static_cast<std::size_t>(kind)] != settled[static_cast<std::size_t>(kind)])
+                proposed_kinds.push_back(static_cast<Kind>(kind));
+        proposed_rollback = true;
+        if (!proposed_kinds.empty()) return Proposal{settled, settled, true};
+        canary.end();
     }
     for (auto& slot : slots)
-        if (slot.candidate && !slot.candidate->checked) {
-            work(slot, now);
+        if (slot.candidate && !slot.candidate->validated) {
+            continue_validation(slot, now);
             return {};
         }
     for (auto& slot : slots)
-        if (slot.waiting) {
-            promote(slot, now);
+        if (slot.queued) {
+            start_validation(slot, now);
             return {};
         }
     staged_changed = false;
-    return put_together(now);
+    return propose_staged(now);
 }
 
 void VersionManager::applied(const LookupCounts& counts, Micros now) {
-    auto kinds = std::exchange(proposed, {});
-    if (std::exchange(proposed_back, false)) {
-        counted.rolled_back++;
+    auto kinds = std::exchange(proposed_kinds, {});
+    if (std::exchange(proposed_rollback, false)) {
+        totals.rolled_back++;
         for (auto kind : kinds) {
-            auto place = static_cast<std::size_t>(kind);
-            auto harmful = force[place];
-            force[place] = settled[place];
+            auto index = static_cast<std::size_t>(kind);
+            auto harmful = active_set[index];
+            active_set[index] = settled[index];
             if (!harmful) continue;
             auto& bundle = harmful->bundle;
-            rolled_back.push_back({kind, bundle.identity, bundle.number, bundle.digest, trial.reason()});
-            if (rolled_back.size() > most_rolled_back) rolled_back.pop_front();
-            lines.push_back("version " + cited(bundle) + " rolled back: " + trial.reason() +
-                            "; in force again: " + (force[place] ? cited(force[place]->bundle) : "none"));
+            rolled_back.push_back({kind, bundle.identity, bundle.number, bundle.digest, canary.reason()});
+            if (rolled_back.size() > max_rolled_back) rolled_back.pop_front();
+            log_lines.push_back("version " + version_name(bundle) + " rolled back: " + canary.reason() +
+                                "; in force again: " +
+                                (active_set[index] ? version_name(active_set[index]->bundle) : "none"));
             auto& slot = slot_of(kind);
-            answer({{slot.stream, slot.nonce}}, kind, "", "rolled back: " + trial.reason());
+            queue_replies({{slot.stream, slot.nonce}}, kind, "", "rolled back: " + canary.reason());
             replies.back().is_rollback = true;
         }
-        trial.end();
+        canary.end();
         staged_changed = true;
         return;
     }
@@ -314,61 +334,61 @@
         auto& slot = slot_of(kind);
         auto candidate = std::move(*slot.candidate);
         slot.candidate.reset();
-        force[static_cast<std::size_t>(kind)] = candidate.checked;
-        auto& bundle = candidate.checked->bundle;
-        note_newest(slot, bundle.identity, bundle.number);
-        counted.in_force++;
-        std::tie(slot.stream, slot.nonce) = candidate.told.owed.back();
-        lines.push_back("version " + cited(bundle) + " in force");
-        answer(candidate.told.owed, kind, "", {});
+        active_set[static_cast<std::size_t>(kind)] = candidate.validated;
+        auto& bundle = candidate.validated->bundle;
+        record_number(slot, bundle.identity, bundle.number);
+        totals.activated++;
+        std::tie(slot.stream, slot.nonce) = candidate.received.pending_nonces.back();
+        log_lines.push_back("version " + version_name(bundle) + " in force");
+        queue_replies(candidate.received.pending_nonces, kind, "", {});
     }
-    trial.begin(counts, now);
-    if (trial.now_at() == Canary::State::Idle) settled = force;  // no trials: what is in force is settled
+    canary.begin(counts, now);
+    if (canary.current_state() == Canary::State::Idle) settled = active_set;  // canaries are off
     staged_changed = true;
 }
 
 void VersionManager::rejected(const std::string& reason, Micros /*now*/) {
-    auto kinds = std::exchange(proposed, {});
-    if (std::exchange(proposed_back, false)) {
-        lines.push_back("no roll-back: " + reason);
-        trial.end();
-        settled = force;
+    auto kinds = std::exchange(proposed_kinds, {});
+    if (std::exchange(proposed_rollback, false)) {
+        log_lines.push_back("no rollback: " + reason);
+        canary.end();
+        settled = active_set;
         return;
     }
     for (auto kind : kinds) {
         auto& slot = slot_of(kind);
-        auto told = std::move(slot.candidate->told);
+        auto received = std::move(slot.candidate->received);
         slot.candidate.reset();
-        turn_down(told, reason);
+        reject(received, reason);
     }
     staged_changed = true;
 }
 
 void VersionManager::observe(const LookupCounts& counts, Micros now) {
-    if (trial.observe(counts, now) == Canary::State::Passed) {
-        settled = force;
-        trial.end();
-        lines.push_back("settled: " + describe(force));
+    if (canary.observe(counts, now) == Canary::State::Passed) {
+        settled = active_set;
+        canary.end();
+        log_lines.push_back("settled: " + describe(active_set));
     }
-    for (auto& slot : slots)  // what is staged too long is looked at again
-        if (slot.candidate && slot.candidate->checked && now - slot.candidate->since >= longest_staged)
+    for (auto& slot : slots)  // the next step rejects a version that was staged too long
+        if (slot.candidate && slot.candidate->validated && now - slot.candidate->since >= staged_timeout)
             staged_changed = true;
 }
 
-void VersionManager::turn_down(const Told& told, const std::string& reason) {
-    counted.turned_down++;
-    lines.push_back("version " + cited(told.head) + " turned down: " + reason);
-    answer(told.owed, told.head.kind, "", reason);
+void VersionManager::reject(const ReceivedVersion& received, const std::string& reason) {
+    totals.rejected++;
+    log_lines.push_back("version " + version_name(received.header) + " rejected: " + reason);
+    queue_replies(received.pending_nonces, received.header.kind, "", reason);
 }
 
-void VersionManager::answer(const Owed& owed, Kind kind, const std::string& type_url,
-                            const std::optional<std::string>& reason) {
-    for (auto& [stream, nonce] : owed) {
+void VersionManager::queue_replies(const PendingNonces& pending_nonces, Kind kind,
+                                   const std::string& type_url, const std::optional<std::string>& reason) {
+    for (auto& [stream, nonce] : pending_nonces) {
         discovery::Request request;
         request.kind = kind;
         request.type_url = type_url;
-        if (type_url.empty() && version_of(force, kind))
-            request.version = version_of(force, kind)->bundle.text;
+        if (type_url.empty() && version_of(active_set, kind))
+            request.version = version_of(active_set, kind)->bundle.version_text;
         request.nonce = nonce;
         request.reason = reason;
         replies.push_back({stream, std::move(request)});
@@ -378,10 +398,10 @@
 discovery::Request VersionManager::subscription(Kind kind, bool claim_no_resources) const {
     discovery::Request request;
     request.kind = kind;
-    auto& now = version_of(force, kind);
-    if (!now || claim_no_resources) return request;
-    request.version = now->bundle.text;
-    for (auto& [name, item] : now->bundle.items) request.labels[name] = item->label;
+    auto& active_version = version_of(active_set, kind);
+    if (!active_version || claim_no_resources) return request;
+    request.version = active_version->bundle.version_text;
+    for (auto& [name, item] : active_version->bundle.items) request.labels[name] = item->label;
     return request;
 }
 
--- a/src/version/trial.hpp
+++ b/src/version/trial.hpp
@@ -1,10 +1,10 @@
-// Judges by the router's own counts whether a version does harm: the share and the number a second of lookups
-// rejected or broken off since it came into force, against those before. No clock: it is told the time.
+// Judges by the router's own counts whether an active version does harm: compares the share and the rate of
+// lookups rejected or failed since its activation with those before. No clock: the time is passed in.
 //
-//   Idle --begin--> Going --long enough, no harm--> Settled
-//                     \---- clearly worse, twice running --> Harmful
+//   Idle --begin--> Running --duration over, no harm--> Passed
+//                     \----- clearly worse, twice in a row --> Failed
 //
-// When it acts and when it could be wrong: docs/streamed-configuration.md.
+// When it reacts and when it may err: docs/streamed-configuration.md.
 #pragma once
 
 #include <deque>
@@ -15,10 +15,10 @@
 
 namespace quillgrade::version {
 
-// Since the start of the router, ever rising.
+// Since the start of the router; never decreasing.
 struct LookupCounts {
     std::uint64_t completed = 0;     // final answers of any kind
-    std::uint64_t unsuccessful = 0;  // of these, rejected or broken off
+    std::uint64_t unsuccessful = 0;  // of these, rejected or failed
 };
 
 class Canary {
@@ -27,36 +27,35 @@
     struct Terms {
         bool enabled = true;
         Micros duration = 15'000'000;
-        double min_increase = 0.10;  // of the share of bad ends, at least
+        double min_increase = 0.10;  // of the share of unsuccessful lookups, 0 to 1
     };
     explicit Canary(const Terms& terms) : terms(terms) {}
 
-    // A version comes into force. One that follows another still on trial is judged with it, against the
-    // time before both; the trial lasts from the newest on.
+    // A version becomes active. One that follows another still on trial is judged together with it, against
+    // the time before both; the duration counts from the newest.
     void begin(const LookupCounts& counts, Micros now);
-    // To be called every `observation_interval` or so; the state stays Settled or Harmful until end() or
-    // begin().
+    // To be called about every `observation_interval`. Passed and Failed stay until end() or begin().
     State observe(const LookupCounts& counts, Micros now);
-    void end() { state = State::Idle; }  // what is in force now is what others are compared with
-    State now_at() const { return state; }
-    std::string reason() const { return why; }  // where Harmful
+    void end() { state = State::Idle; }  // the active versions become the baseline
+    State current_state() const { return state; }
+    std::string reason() const { return failure; }  // why it Failed
 
     static constexpr Micros observation_interval = 500'000;
 
 private:
-    struct Reading {
+    struct Sample {
         Micros at;
         LookupCounts counts;
     };
-    bool worse(const LookupCounts& counts, Micros now);
+    bool is_worse(const LookupCounts& counts, Micros now);
 
     Terms terms;
     State state = State::Idle;
-    std::deque<Reading> readings;       // while nothing is on trial: the time before
-    std::deque<Reading> since;          // on trial
-    Micros first_begun = 0, begun = 0;  // of the first and the newest version on trial
-    int worse_running = 0;
-    std::string why;
+    std::deque<Sample> baseline;               // collected while no version is on trial
+    std::deque<Sample> recent;                 // of the running trial
+    Micros first_begun = 0, newest_begun = 0;  // of the first and the newest version on trial
+    int worse_in_a_row = 0;
+    std::string failure;
 };
 
 }  // namespace quillgrade::version
--- a/tests/vault_test.cpp
+++ b/tests/vault_test.cpp
@@ -39,10 +39,10 @@
     bundle.kind = version::Kind::Boxes;
     bundle.identity = "ctl-a";
     bundle.number = number;
-    bundle.text = std::to_string(number);
+    bundle.version_text = std::to_string(number);
     auto item = std::make_shared<version::Item>();
     // Every part tells which version it belongs to.
-    while (item->bytes.size() < size) item->bytes += bundle.text + ";";
+    while (item->bytes.size() < size) item->bytes += bundle.version_text + ";";
     bundle.items["all"] = item;
     bundle.digest = version::digest_of(bundle.items);
     version::VersionSet set;
@@ -56,9 +56,9 @@
     auto& bundle = bundles.at(0);
     auto& text = bundle.items.at("all")->bytes;
     std::string wanted;
-    while (wanted.size() < text.size()) wanted += bundle.text + ";";
+    while (wanted.size() < text.size()) wanted += bundle.version_text + ";";
     CHECK(text == wanted);
-    CHECK(std::to_string(bundle.number) == bundle.text);
+    CHECK(std::to_string(bundle.number) == bundle.version_text);
     return bundle.number;
 }
 
