--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::size_t many_gone = 4096;
-constexpr Micros remembered = 600'000'000;
+constexpr std::size_t max_gone = 4096;  // beyond it, ids of servers that are gone are forgotten after a time
+constexpr Micros gone_retention = 600'000'000;
 
-int badness(Listed listed) { return listed == Listed::Gone ? 2 : listed == Listed::Draining ? 1 : 0; }
+int severity(Listed listed) { return listed == Listed::Gone ? 2 : listed == Listed::Draining ? 1 : 0; }
 
-bool alike(const feed::Endpoint& a, const feed::Endpoint& b) {
+bool equal(const feed::Endpoint& a, const feed::Endpoint& b) {
     return std::tie(a.address, a.port, a.entry.listed, a.entry.rating, a.entry.kind, a.entry.cell,
                     a.entry.zone, a.entry.started) == std::tie(b.address, b.port, b.entry.listed,
                                                                b.entry.rating, b.entry.kind, b.entry.cell,
@@ -30,71 +30,73 @@
       zones(zones),
       membership(membership) {}
 
-// Endpoints of other locations are never asked, so the router is not told of them.
-bool MergedEndpoints::ours(const feed::Endpoint& endpoint) const {
+// Caches of other zones get no requests from this router, so it is not told of them.
+bool MergedEndpoints::is_relevant(const feed::Endpoint& endpoint) const {
     return endpoint.entry.zone == zone || endpoint.entry.kind == parent_kind ||
            endpoint.entry.kind == origin_kind;
 }
 
-const feed::Endpoint* MergedEndpoints::in_stream(CacheId id) const {
-    if (!boxes) return nullptr;
-    auto at = std::lower_bound(boxes->begin(), boxes->end(), id,
-                               [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
-    return at != boxes->end() && at->entry.id == id ? &*at : nullptr;
+const feed::Endpoint* MergedEndpoints::find_streamed(CacheId id) const {
+    if (!streamed_endpoints) return nullptr;
+    auto found = std::lower_bound(streamed_endpoints->begin(), streamed_endpoints->end(), id,
+                                  [](auto& endpoint, CacheId wanted) { return endpoint.entry.id < wanted; });
+    return found != streamed_endpoints->end() && found->entry.id == id ? &*found : nullptr;
 }
 
-// What the router is to be told of one id; empty: it is no member.
-std::optional<feed::Endpoint> MergedEndpoints::member(CacheId id, const feed::Endpoint* streamed) const {
-    auto platform = listed.find(id);
-    bool has = platform != listed.end();
-    bool only_streamed = boxes && membership == operate::Membership::Streamed;
+// The merged entry of one id; empty: it is not in the merged list.
+std::optional<feed::Endpoint> MergedEndpoints::merge(CacheId id, const feed::Endpoint* streamed) const {
+    auto by_coordinator = listed.find(id);
+    bool is_listed = by_coordinator != listed.end();
+    bool only_streamed = streamed_endpoints && membership == operate::Membership::Streamed;
     if (gone.contains(id) || (streamed && streamed->entry.listed == Listed::Gone)) return {};
-    if (!streamed) return has && !only_streamed ? std::optional(platform->second) : std::nullopt;
-    auto own = *streamed;
-    if (auto since = started.find(id); own.entry.started == 0 && since != started.end())
-        own.entry.started = since->second;
-    if (!has) return own;
-    auto made = only_streamed ? own : platform->second;
-    made.entry.started = std::max(own.entry.started, platform->second.entry.started);
-    if (badness(own.entry.listed) > badness(made.entry.listed)) made.entry.listed = own.entry.listed;
-    if (badness(platform->second.entry.listed) > badness(made.entry.listed))
-        made.entry.listed = platform->second.entry.listed;
-    return made;
+    if (!streamed) return is_listed && !only_streamed ? std::optional(by_coordinator->second) : std::nullopt;
+    auto by_stream = *streamed;
+    if (auto assumed = assumed_starts.find(id);
+        by_stream.entry.started == 0 && assumed != assumed_starts.end())
+        by_stream.entry.started = assumed->second;
+    if (!is_listed) return by_stream;
+    auto merged = only_streamed ? by_stream : by_coordinator->second;
+    merged.entry.started = std::max(by_stream.entry.started, by_coordinator->second.entry.started);
+    if (severity(by_stream.entry.listed) > severity(merged.entry.listed))
+        merged.entry.listed = by_stream.entry.listed;
+    if (severity(by_coordinator->second.entry.listed) > severity(merged.entry.listed))
+        merged.entry.listed = by_coordinator->second.entry.listed;
+    return merged;
 }
 
-void MergedEndpoints::compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
-                              feed::Listing& leaving) {
-    auto now = member(id, streamed);
-    if (now && !ours(*now)) now.reset();
-    auto known = told.find(id);
-    if (now) {
-        if (known != told.end() && alike(known->second, *now)) return;
-        changes.caches.push_back(*now);
-        told[id] = *now;
-    } else if (known != told.end()) {
+void MergedEndpoints::announce_changes(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
+                                       feed::Listing& removals) {
+    auto merged = merge(id, streamed);
+    if (merged && !is_relevant(*merged)) merged.reset();
+    auto known = announced.find(id);
+    if (merged) {
+        if (known != announced.end() && equal(known->second, *merged)) return;
+        changes.caches.push_back(*merged);
+        announced[id] = *merged;
+    } else if (known != announced.end()) {
         known->second.entry.listed = Listed::Gone;
-        leaving.caches.push_back(known->second);
-        told.erase(known);
+        removals.caches.push_back(known->second);
+        announced.erase(known);
     }
 }
 
-feed::Listing MergedEndpoints::joined(feed::Listing changes, feed::Listing leaving) {
+feed::Listing MergedEndpoints::joined(feed::Listing changes, feed::Listing removals) {
     auto by_id = [](auto& a, auto& b) { return a.entry.id < b.entry.id; };
     std::sort(changes.caches.begin(), changes.caches.end(), by_id);
-    changes.caches.insert(changes.caches.end(), leaving.caches.begin(), leaving.caches.end());
+    changes.caches.insert(changes.caches.end(), removals.caches.begin(), removals.caches.end());
     return changes;
 }
 
-feed::Listing MergedEndpoints::update_from_coordinator(const feed::Listing& news, Micros now) {
+feed::Listing MergedEndpoints::update_from_coordinator(const feed::Listing& update, Micros now) {
     std::set<CacheId> touched;
-    if (news.complete) {  // whoever is missing from it has gone
+    if (update.complete) {  // a server that is missing from a complete list is gone
         for (auto& [id, endpoint] : listed) {
             gone[id] = now;
             touched.insert(id);
         }
         listed.clear();
     }
-    for (auto& endpoint : news.caches) {
+    for (auto& endpoint : update.caches) {
         auto id = endpoint.entry.id;
         touched.insert(id);
         if (endpoint.entry.listed == Listed::Gone) {
@@ -105,109 +107,119 @@
             gone.erase(id);
         }
     }
-    feed::Listing changes, leaving;
-    for (auto id : touched) compare(id, in_stream(id), changes, leaving);
+    feed::Listing changes, removals;
+    for (auto id : touched) announce_changes(id, find_streamed(id), changes, removals);
     forget_old(now);
-    return joined(std::move(changes), std::move(leaving));
+    return joined(std::move(changes), std::move(removals));
 }
 
 feed::Listing MergedEndpoints::update_from_stream(std::shared_ptr<const Endpoints> next, Micros now) {
-    auto before = std::exchange(boxes, std::move(next));
+    auto previous = std::exchange(streamed_endpoints, std::move(next));
     static const Endpoints none;
-    auto &old = before ? *before : none, &fresh = boxes ? *boxes : none;
-    // The kind of membership begins and ends with a version in force, and then touches every box.
-    bool all = membership == operate::Membership::Streamed && !before != !boxes;
-    feed::Listing changes, leaving;
-    auto was = old.begin();
-    for (auto box = fresh.begin();; ++box) {
-        for (; was != old.end() && (box == fresh.end() || was->entry.id < box->entry.id); ++was) {
-            started.erase(was->entry.id);
-            compare(was->entry.id, nullptr, changes, leaving);
+    auto &old = previous ? *previous : none, &current = streamed_endpoints ? *streamed_endpoints : none;
+    // Streamed membership applies only while a version is active, so its beginning and end affect every
+    // entry.
+    bool affects_all = membership == operate::Membership::Streamed && !previous != !streamed_endpoints;
+    feed::Listing changes, removals;
+    auto old_box = old.begin();
+    for (auto box = current.begin();; ++box) {
+        for (; old_box != old.end() && (box == current.end() || old_box->entry.id < box->entry.id);
+             ++old_box) {
+            assumed_starts.erase(old_box->entry.id);
+            announce_changes(old_box->entry.id, nullptr, changes, removals);
         }
-        if (box == fresh.end()) break;
+        if (box == current.end()) break;
         auto id = box->entry.id;
-        bool known = was != old.end() && was->entry.id == id;
-        bool moved = known && (was->address != box->address || was->port != box->port);
-        bool listed_so = listed.contains(id);
-        if (box->entry.started == 0 && (moved || (before && !known && !listed_so))) started[id] = now;
-        if (!known || moved || !alike(*was, *box) || all) compare(id, &*box, changes, leaving);
-        if (known) ++was;
+        bool known = old_box != old.end() && old_box->entry.id == id;
+        bool moved = known && (old_box->address != box->address || old_box->port != box->port);
+        bool is_listed = listed.contains(id);
+        if (box->entry.started == 0 && (moved || (previous && !known && !is_listed)))
+            assumed_starts[id] = now;
+        if (!known || moved || !equal(*old_box, *box) || affects_all)
+            announce_changes(id, &*box, changes, removals);
+        if (known) ++old_box;
     }
-    if (all) {
+    if (affects_all) {
         std::vector<CacheId> ids;
         for (auto& [id, endpoint] : listed) ids.push_back(id);
-        for (auto id : ids) compare(id, in_stream(id), changes, leaving);
+        for (auto id : ids) announce_changes(id, find_streamed(id), changes, removals);
     }
     forget_old(now);
-    return joined(std::move(changes), std::move(leaving));
+    return joined(std::move(changes), std::move(removals));
 }
 
 StartTimes MergedEndpoints::start_times_since(Micros now, Micros span) const {
-    StartTimes late;
-    for (auto& [id, at] : started)
-        if (now - at < span) late.emplace_back(id, at);
-    return late;
+    StartTimes recent;
+    for (auto& [id, at] : assumed_starts)
+        if (now - at < span) recent.emplace_back(id, at);
+    return recent;
 }
 
-void MergedEndpoints::restore_start_times(const StartTimes& starts) {
-    for (auto& [id, at] : starts) started[id] = at;
+void MergedEndpoints::restore_start_times(const StartTimes& start_times) {
+    for (auto& [id, at] : start_times) assumed_starts[id] = at;
 }
 
-// Guards against memory that grows as caches come and go under ever new ids. What a version in force still
-// names is never forgotten: it would come back as ready.
+// Bounds the memory as caches come and go under ever new ids. An id that the active version still lists is
+// never forgotten: the server would come back as ready.
 void MergedEndpoints::forget_old(Micros now) {
-    if (gone.size() <= many_gone) return;
-    std::erase_if(gone, [&](auto& one) { return now - one.second > remembered && !in_stream(one.first); });
-    while (gone.size() > 2 * many_gone) {
+    if (gone.size() <= max_gone) return;
+    std::erase_if(gone,
+                  [&](auto& one) { return now - one.second > gone_retention && !find_streamed(one.first); });
+    while (gone.size() > 2 * max_gone) {
         auto oldest = gone.end();
         for (auto one = gone.begin(); one != gone.end(); ++one)
-            if (!in_stream(one->first) && (oldest == gone.end() || one->second < oldest->second))
+            if (!find_streamed(one->first) && (oldest == gone.end() || one->second < oldest->second))
                 oldest = one;
-        if (oldest == gone.end()) return;  // all are named by the version, which bounds them
+        if (oldest == gone.end()) return;  // all are listed by the version, whose length bounds them
         gone.erase(oldest);
     }
 }
 
+// The zone, or -1 for parents and -2 for the origin, which serve all zones.
 int MergedEndpoints::role(const feed::Endpoint& endpoint) const {
     if (endpoint.entry.kind == origin_kind) return -2;
     return endpoint.entry.kind == parent_kind ? -1 : endpoint.entry.zone;
 }
 
 std::optional<std::string> MergedEndpoints::describe_unserved(const Endpoints& next,
-                                                              const std::vector<int>& emptied) const {
-    bool streamed_only = membership == operate::Membership::Streamed;
-    std::map<int, int> before, after;  // ready servers: by zone, of parents (-1), of the origin (-2)
-    auto count = [&](std::map<int, int>& into, const feed::Endpoint& box) {
-        bool ready = box.entry.listed == Listed::Ready && !gone.contains(box.entry.id);
-        auto platform = listed.find(box.entry.id);
-        if (platform != listed.end() && platform->second.entry.listed != Listed::Ready) ready = false;
-        if (ready) into[role(box)]++;
+                                                              const std::vector<int>& emptied_zones) const {
+    bool only_streamed = membership == operate::Membership::Streamed;
+    std::map<int, int> before, after;  // number of ready servers, by role()
+    auto count = [&](std::map<int, int>& ready_servers, const feed::Endpoint& endpoint) {
+        bool ready = endpoint.entry.listed == Listed::Ready && !gone.contains(endpoint.entry.id);
+        auto by_coordinator = listed.find(endpoint.entry.id);
+        if (by_coordinator != listed.end() && by_coordinator->second.entry.listed != Listed::Ready)
+            ready = false;
+        if (ready) ready_servers[role(endpoint)]++;
     };
-    auto named = [](const Endpoints& list, CacheId id) {
-        auto at = std::lower_bound(list.begin(), list.end(), id,
-                                   [](auto& box, CacheId wanted) { return box.entry.id < wanted; });
-        return at != list.end() && at->entry.id == id;
+    auto contains = [](const Endpoints& endpoints, CacheId id) {
+        auto found =
+            std::lower_bound(endpoints.begin(), endpoints.end(), id,
+                             [](auto& endpoint, CacheId wanted) { return endpoint.entry.id < wanted; });
+        return found != endpoints.end() && found->entry.id == id;
     };
-    if (boxes)
-        for (auto& box : *boxes) count(before, box);
-    for (auto& box : next) count(after, box);
-    for (auto& [id, box] : listed) {
-        if (!in_stream(id) && !(streamed_only && boxes)) count(before, box);
-        if (!named(next, id) && !streamed_only) count(after, box);
+    if (streamed_endpoints)
+        for (auto& endpoint : *streamed_endpoints) count(before, endpoint);
+    for (auto& endpoint : next) count(after, endpoint);
+    for (auto& [id, endpoint] : listed) {
+        if (!find_streamed(id) && !(only_streamed && streamed_endpoints)) count(before, endpoint);
+        if (!contains(next, id) && !only_streamed) count(after, endpoint);
     }
-    std::string all;
-    for (auto& [where, ready] : before) {
-        if (after[where] > 0) continue;
-        if (where >= 0 && std::find(emptied.begin(), emptied.end(), where) != emptied.end()) continue;
-        auto name = where == -2   ? std::string("the origin")
-                    : where == -1 ? std::string("the parents")
-                                  : "zone '" + zones[static_cast<std::size_t>(where)] + "'";
-        all += (all.empty() ? "" : ", ") + name;
-        if (all.size() > 200) break;
+    std::string unserved;
+    for (auto& [server_role, ready] : before) {
+        if (after[server_role] > 0) continue;
+        if (server_role >= 0 &&
+            std::find(emptied_zones.begin(), emptied_zones.end(), server_role) != emptied_zones.end())
+            continue;
+        auto name = server_role == -2   ? std::string("the origin")
+                    : server_role == -1 ? std::string("the parents")
+                                        : "zone '" + zones[static_cast<std::size_t>(server_role)] + "'";
+        unserved += (unserved.empty() ? "" : ", ") + name;
+        if (unserved.size() > 200) break;
     }
-    if (all.empty()) return {};
-    return "it would leave " + all +
-           " without a server that is ready; name a zone in 'emptied' if that is meant";
+    if (unserved.empty()) return {};
+    return "it would leave " + unserved +
+           " without a ready server; list a zone in 'emptied' if that is intended";
 }
 
 }  // namespace quillgrade::members
--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -1,17 +1,21 @@
-// Who is a member: the coordinator's list and the streamed boxes, made into the one list that the decision
-// module and the pool are told. No I/O.
+// The merged endpoint list: combines the coordinator's list with the boxes of streamed configuration into the
+// one list that the router and the pool work with. No I/O.
 //
-// For each box, by its id:
-//   coordinator   stream      told to the router
-//   ready         -           as the coordinator has it (merged), or gone (streamed)
-//   -             any         as the stream has it
-//   any           any         the address, zone, kind and weight of the coordinator (merged) or of the stream
+// Of each box, by its id:
+//   coordinator   stream      result
+//   ready         -           the coordinator's entry (merged membership), or gone (streamed)
+//   -             any         the stream's entry
+//   any           any         address, zone, kind and weight of the coordinator (merged) or of the stream
 //                             (streamed); the later start; the worse state: gone, else draining, else ready
 //   gone          any         gone, until the coordinator itself lists it again
-// So a drain told by either holds until that one takes it back, and purges are the coordinator's alone.
+// So a drain holds until the side that ordered it withdraws it. Purges come from the coordinator alone.
 //
-// A box that a version adds while another was in force, or moves to another address, without stating its
-// start, counts as started when that version came into force: it is taken for cold, never pushed over.
+// If a version adds a box while another version was active, or moves one to another address, and states no
+// start time, the box counts as started when that version became active: it is taken for cold, so that it is
+// not overloaded.
+//
+//   feed::Listing changes = endpoints.update_from_coordinator(listing, now);
+//   router.apply(changes);
 #pragma once
 
 #include <map>
@@ -28,49 +32,51 @@
 
 namespace quillgrade::members {
 
-using Endpoints = std::vector<feed::Endpoint>;               // by rising id, ids once each
-using StartTimes = std::vector<std::pair<CacheId, Micros>>;  // when boxes that state no start came into force
+using Endpoints = std::vector<feed::Endpoint>;  // in ascending order of id, each id once
+// When each box that states no start time became active, Unix microseconds.
+using StartTimes = std::vector<std::pair<CacheId, Micros>>;
 
 class MergedEndpoints {
 public:
     MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
                     operate::Membership membership);
 
-    // What changes for the router: new and changed boxes first, then those that have gone (make before
-    // break).
-    feed::Listing update_from_coordinator(const feed::Listing& news, Micros now);
-    // `next` outlives the book or the next call; null: no version is in force.
+    // Both return what changes for the router: first new and changed boxes, then those that are gone (make
+    // before break).
+    feed::Listing update_from_coordinator(const feed::Listing& update, Micros now);
+    // `next` is held until the next call; null: no version is active.
     feed::Listing update_from_stream(std::shared_ptr<const Endpoints> next, Micros now);
 
-    // StartTimes that still matter: those of less than `span` before now, for a restart of the router.
+    // The start times less than `span` before now, which a restarted router still needs.
     StartTimes start_times_since(Micros now, Micros span) const;
-    void restore_start_times(const StartTimes& starts);  // before the first version
+    void restore_start_times(const StartTimes& start_times);  // before the first version
 
-    // Which locations or roles would be left without a server that is ready, in words; empty: none. Zones in
-    // `emptied` are meant to be.
+    // Why `next` may not become active: which zones or roles it would leave without a ready server, in words;
+    // empty: none. The zones in `emptied_zones` are left so on purpose.
     std::optional<std::string> describe_unserved(const Endpoints& next,
-                                                 const std::vector<int>& emptied) const;
+                                                 const std::vector<int>& emptied_zones) const;
 
-    std::size_t announced_count() const { return told.size(); }
+    std::size_t announced_count() const { return announced.size(); }
     std::size_t gone_count() const { return gone.size(); }
 
 private:
-    bool ours(const feed::Endpoint& endpoint) const;
+    bool is_relevant(const feed::Endpoint& endpoint) const;
     int role(const feed::Endpoint& endpoint) const;
-    const feed::Endpoint* in_stream(CacheId id) const;
-    std::optional<feed::Endpoint> member(CacheId id, const feed::Endpoint* streamed) const;
-    void compare(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes, feed::Listing& leaving);
+    const feed::Endpoint* find_streamed(CacheId id) const;
+    std::optional<feed::Endpoint> merge(CacheId id, const feed::Endpoint* streamed) const;
+    void announce_changes(CacheId id, const feed::Endpoint* streamed, feed::Listing& changes,
+                          feed::Listing& removals);
     void forget_old(Micros now);
-    static feed::Listing joined(feed::Listing changes, feed::Listing leaving);
+    static feed::Listing joined(feed::Listing changes, feed::Listing removals);
 
     int zone, parent_kind, origin_kind;
     std::vector<std::string> zones;
     operate::Membership membership;
     std::unordered_map<CacheId, feed::Endpoint> listed;  // by the coordinator, ready or draining
-    std::unordered_map<CacheId, Micros> gone;            // told so by the coordinator, and when
-    std::shared_ptr<const Endpoints> boxes;
-    std::unordered_map<CacheId, Micros> started;       // of streamed boxes that state none
-    std::unordered_map<CacheId, feed::Endpoint> told;  // what the router was told last
+    std::unordered_map<CacheId, Micros> gone;            // according to the coordinator, and since when
+    std::shared_ptr<const Endpoints> streamed_endpoints;
+    std::unordered_map<CacheId, Micros> assumed_starts;     // of streamed boxes that state no start time
+    std::unordered_map<CacheId, feed::Endpoint> announced;  // to the router, as of the last call
 };
 
 }  // namespace quillgrade::members
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,4 +1,4 @@
-// Who wins when both the coordinator and a version speak of a box.
+// The merged endpoint list where both the coordinator and a version list a box.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -25,17 +25,17 @@
     return std::make_shared<const Endpoints>(std::move(all));
 }
 
-// What the router believes after it was told all changes.
-struct Believed {
-    void hear(const feed::Listing& changes) {
+// The list of the router after it has applied all changes.
+struct RouterList {
+    void apply(const feed::Listing& changes) {
         CHECK(!changes.complete);
-        bool leaving = false;
+        bool removals_begun = false;
         for (auto& one : changes.caches) {
             if (one.entry.listed == Listed::Gone) {
-                leaving = true;
+                removals_begun = true;
                 CHECK(now.erase(one.entry.id) == 1);
             } else {
-                CHECK(!leaving);  // make before break
+                CHECK(!removals_begun);  // make before break
                 now[one.entry.id] = one;
             }
         }
@@ -44,175 +44,178 @@
     std::map<CacheId, feed::Endpoint> now;
 };
 
-struct Told {
-    explicit Told(operate::Membership membership = operate::Membership::Merged)
-        : book(a_site(), terms().zones, membership) {}
-    void platform(const feed::Listing& news, Micros at = noon) {
-        router.hear(book.update_from_coordinator(news, at));
+struct MergeFixture {
+    explicit MergeFixture(operate::Membership membership = operate::Membership::Merged)
+        : endpoints(a_site(), terms().zones, membership) {}
+    void update_from_coordinator(const feed::Listing& update, Micros at = noon) {
+        router.apply(endpoints.update_from_coordinator(update, at));
     }
-    void streamed(std::shared_ptr<const Endpoints> boxes, Micros at = noon) {
-        router.hear(book.update_from_stream(std::move(boxes), at));
+    void update_from_stream(std::shared_ptr<const Endpoints> boxes, Micros at = noon) {
+        router.apply(endpoints.update_from_stream(std::move(boxes), at));
     }
-    MergedEndpoints book;
-    Believed router;
+    MergedEndpoints endpoints;
+    RouterList router;
 };
 
 }  // namespace
 
-TEST_CASE("boxes of both are members, with the coordinator's address where both name one") {
-    Told told;
-    told.platform(listing({box(1), box(2)}, true));
-    told.streamed(version({box(2, Listed::Ready, 99), box(3, Listed::Ready, 99)}));
-    CHECK(told.router.now.size() == 3);
-    CHECK(told.router.now.at(2).port == 80);
-    CHECK(told.router.now.at(3).port == 99);
-    told.streamed(nullptr);
-    CHECK(told.router.now.size() == 2);
+TEST_CASE("boxes of both are merged, with the coordinator's address where both list one") {
+    MergeFixture fixture;
+    fixture.update_from_coordinator(listing({box(1), box(2)}, true));
+    fixture.update_from_stream(version({box(2, Listed::Ready, 99), box(3, Listed::Ready, 99)}));
+    CHECK(fixture.router.now.size() == 3);
+    CHECK(fixture.router.now.at(2).port == 80);
+    CHECK(fixture.router.now.at(3).port == 99);
+    fixture.update_from_stream(nullptr);
+    CHECK(fixture.router.now.size() == 2);
 }
 
-TEST_CASE("a drain holds, whichever told it, until that one takes it back") {
-    Told told;
-    told.platform(listing({box(1), box(2)}, true));
-    told.streamed(version({box(1, Listed::Draining), box(2)}));
-    CHECK(told.router.state(1) == Listed::Draining);
-    told.platform(listing({box(1), box(2, Listed::Draining)}));
-    CHECK(told.router.state(1) == Listed::Draining);
-    CHECK(told.router.state(2) == Listed::Draining);
-    told.streamed(version({box(1), box(2)}));
-    CHECK(told.router.state(1) == Listed::Ready);
-    CHECK(told.router.state(2) == Listed::Draining);
+TEST_CASE("a drain holds until the side that ordered it withdraws it") {
+    MergeFixture fixture;
+    fixture.update_from_coordinator(listing({box(1), box(2)}, true));
+    fixture.update_from_stream(version({box(1, Listed::Draining), box(2)}));
+    CHECK(fixture.router.state(1) == Listed::Draining);
+    fixture.update_from_coordinator(listing({box(1), box(2, Listed::Draining)}));
+    CHECK(fixture.router.state(1) == Listed::Draining);
+    CHECK(fixture.router.state(2) == Listed::Draining);
+    fixture.update_from_stream(version({box(1), box(2)}));
+    CHECK(fixture.router.state(1) == Listed::Ready);
+    CHECK(fixture.router.state(2) == Listed::Draining);
 }
 
-TEST_CASE("a version does not bring back what the coordinator has told gone") {
+TEST_CASE("a version does not bring back a box that the coordinator reports as gone") {
     for (auto membership : {operate::Membership::Merged, operate::Membership::Streamed}) {
-        Told told(membership);
-        told.platform(listing({box(1), box(2)}, true));
-        told.streamed(version({box(1), box(2)}));
-        told.platform(listing({box(1, Listed::Gone)}));
-        CHECK(told.router.state(1) == Listed::Gone);
-        told.streamed(version({box(1), box(2), box(3)}));
-        CHECK(told.router.state(1) == Listed::Gone);
-        told.platform(listing({box(2)}, true));  // missing from a whole list
-        told.platform(listing({box(1)}));        // listed again by the coordinator itself
-        CHECK(told.router.state(1) == Listed::Ready);
+        MergeFixture fixture(membership);
+        fixture.update_from_coordinator(listing({box(1), box(2)}, true));
+        fixture.update_from_stream(version({box(1), box(2)}));
+        fixture.update_from_coordinator(listing({box(1, Listed::Gone)}));
+        CHECK(fixture.router.state(1) == Listed::Gone);
+        fixture.update_from_stream(version({box(1), box(2), box(3)}));
+        CHECK(fixture.router.state(1) == Listed::Gone);
+        fixture.update_from_coordinator(listing({box(2)}, true));  // missing from a complete list
+        fixture.update_from_coordinator(listing({box(1)}));        // listed again by the coordinator itself
+        CHECK(fixture.router.state(1) == Listed::Ready);
     }
 }
 
 TEST_CASE(
-    "with streamed membership a version in force decides who is a member, and its end returns the list") {
-    Told told(operate::Membership::Streamed);
-    told.platform(listing({box(1), box(2)}, true));
-    CHECK(told.router.now.size() == 2);
-    told.streamed(version({box(2, Listed::Ready, 99)}));
-    CHECK(told.router.now.size() == 1);
-    CHECK(told.router.now.at(2).port == 99);
-    told.platform(listing({box(4)}));
-    CHECK(told.router.now.size() == 1);
-    told.platform(listing({box(2, Listed::Draining)}));
-    CHECK(told.router.state(2) == Listed::Draining);
-    told.streamed(nullptr);
-    CHECK(told.router.now.size() == 3);
+    "with streamed membership only the active version's boxes are used, and without one the coordinator's "
+    "list") {
+    MergeFixture fixture(operate::Membership::Streamed);
+    fixture.update_from_coordinator(listing({box(1), box(2)}, true));
+    CHECK(fixture.router.now.size() == 2);
+    fixture.update_from_stream(version({box(2, Listed::Ready, 99)}));
+    CHECK(fixture.router.now.size() == 1);
+    CHECK(fixture.router.now.at(2).port == 99);
+    fixture.update_from_coordinator(listing({box(4)}));
+    CHECK(fixture.router.now.size() == 1);
+    fixture.update_from_coordinator(listing({box(2, Listed::Draining)}));
+    CHECK(fixture.router.state(2) == Listed::Draining);
+    fixture.update_from_stream(nullptr);
+    CHECK(fixture.router.now.size() == 3);
 }
 
 TEST_CASE("a box that a version adds or moves without a start counts as just started") {
-    Told told;
-    told.streamed(version({box(1)}), noon);
-    CHECK(told.router.now.at(1).entry.started == 0);  // the first version says nothing of what is new
-    told.streamed(version({box(1), box(2)}), noon + test_second);
-    CHECK(told.router.now.at(2).entry.started == noon + test_second);
-    told.streamed(version({box(1, Listed::Ready, 81), box(2)}), noon + 2 * test_second);
-    CHECK(told.router.now.at(1).entry.started == noon + 2 * test_second);
-    CHECK(told.router.now.at(1).port == 81);
-    CHECK(told.router.now.at(2).entry.started == noon + test_second);
-    CHECK(told.book.start_times_since(noon + 3 * test_second, 1500 * test_ms).size() == 1);
-    // After a restart of the router they are as cold as they were.
-    Told again;
-    again.book.restore_start_times(told.book.start_times_since(noon + 3 * test_second, 10 * test_second));
-    again.streamed(version({box(1, Listed::Ready, 81), box(2)}), noon + 4 * test_second);
-    CHECK(again.router.now.at(2).entry.started == noon + test_second);
+    MergeFixture fixture;
+    fixture.update_from_stream(version({box(1)}), noon);
+    CHECK(fixture.router.now.at(1).entry.started == 0);  // all boxes of the first version are taken for old
+    fixture.update_from_stream(version({box(1), box(2)}), noon + test_second);
+    CHECK(fixture.router.now.at(2).entry.started == noon + test_second);
+    fixture.update_from_stream(version({box(1, Listed::Ready, 81), box(2)}), noon + 2 * test_second);
+    CHECK(fixture.router.now.at(1).entry.started == noon + 2 * test_second);
+    CHECK(fixture.router.now.at(1).port == 81);
+    CHECK(fixture.router.now.at(2).entry.started == noon + test_second);
+    CHECK(fixture.endpoints.start_times_since(noon + 3 * test_second, 1500 * test_ms).size() == 1);
+    // A restart of the router keeps the start times.
+    MergeFixture restarted;
+    restarted.endpoints.restore_start_times(
+        fixture.endpoints.start_times_since(noon + 3 * test_second, 10 * test_second));
+    restarted.update_from_stream(version({box(1, Listed::Ready, 81), box(2)}), noon + 4 * test_second);
+    CHECK(restarted.router.now.at(2).entry.started == noon + test_second);
 }
 
-TEST_CASE("boxes of other locations are not told, parents and the origin are") {
-    Told told;
-    told.streamed(version({box(1), box(2, Listed::Ready, 80, 0, 2), box(3, Listed::Ready, 80, 1, 0),
-                           box(4, Listed::Ready, 80, 2, 0)}));
-    CHECK(told.router.now.size() == 3);
-    CHECK(told.book.announced_count() == 3);
+TEST_CASE("boxes of other zones are not announced to the router, parents and the origin are") {
+    MergeFixture fixture;
+    fixture.update_from_stream(version({box(1), box(2, Listed::Ready, 80, 0, 2),
+                                        box(3, Listed::Ready, 80, 1, 0), box(4, Listed::Ready, 80, 2, 0)}));
+    CHECK(fixture.router.now.size() == 3);
+    CHECK(fixture.endpoints.announced_count() == 3);
 }
 
-TEST_CASE("a version that would leave a location without a server says which") {
-    Told told;
+TEST_CASE("a version that would leave a zone or role without a ready server is reported with its name") {
+    MergeFixture fixture;
     auto elsewhere = box(5, Listed::Ready, 80, 0, 0);
     auto parent = box(11, Listed::Ready, 80, 1, 0), origin = box(20, Listed::Ready, 80, 2, 0);
-    told.streamed(version({box(1), elsewhere, parent, origin}));
-    auto why = [&](std::vector<feed::Endpoint> next, const std::vector<int>& emptied = {}) {
-        return told.book.describe_unserved(Endpoints(std::move(next)), emptied).value_or("");
+    fixture.update_from_stream(version({box(1), elsewhere, parent, origin}));
+    auto unserved = [&](std::vector<feed::Endpoint> next, const std::vector<int>& emptied = {}) {
+        return fixture.endpoints.describe_unserved(Endpoints(std::move(next)), emptied).value_or("");
     };
-    CHECK(why({box(2), elsewhere, parent, origin}) == "");
-    CHECK(why({elsewhere, parent, origin}).find("zone 'east'") != std::string::npos);
-    CHECK(why({box(1, Listed::Draining), elsewhere, parent, origin}).find("zone 'east'") !=
+    CHECK(unserved({box(2), elsewhere, parent, origin}) == "");
+    CHECK(unserved({elsewhere, parent, origin}).find("zone 'east'") != std::string::npos);
+    CHECK(unserved({box(1, Listed::Draining), elsewhere, parent, origin}).find("zone 'east'") !=
           std::string::npos);
-    CHECK(why({elsewhere, parent, origin}, {1}) == "");
-    CHECK(why({box(1), parent, origin}).find("zone 'central'") != std::string::npos);
-    CHECK(why({box(1), elsewhere, origin}).find("the parents") != std::string::npos);
-    CHECK(why({box(1), elsewhere, parent}, {0, 1}).find("the origin") != std::string::npos);
-    told.platform(listing({box(7)}));  // the coordinator's box serves there
-    CHECK(why({elsewhere, parent, origin}) == "");
+    CHECK(unserved({elsewhere, parent, origin}, {1}) == "");
+    CHECK(unserved({box(1), parent, origin}).find("zone 'central'") != std::string::npos);
+    CHECK(unserved({box(1), elsewhere, origin}).find("the parents") != std::string::npos);
+    CHECK(unserved({box(1), elsewhere, parent}, {0, 1}).find("the origin") != std::string::npos);
+    fixture.update_from_coordinator(listing({box(7)}));  // a ready box of the coordinator in that zone
+    CHECK(unserved({elsewhere, parent, origin}) == "");
 }
 
-TEST_CASE("what has gone is remembered within bounds, what a version names always") {
-    Told told;
-    told.streamed(version({box(1)}));
-    told.platform(listing({box(1), box(2)}));
-    told.platform(listing({box(1, Listed::Gone)}));
+TEST_CASE("ids that are gone are remembered within bounds, those that a version lists always") {
+    MergeFixture fixture;
+    fixture.update_from_stream(version({box(1)}));
+    fixture.update_from_coordinator(listing({box(1), box(2)}));
+    fixture.update_from_coordinator(listing({box(1, Listed::Gone)}));
     for (int i = 0; i < 20'000; i++)
-        told.platform(listing({box(100 + static_cast<CacheId>(i), Listed::Gone)}), noon + i * test_second);
-    CHECK(told.book.gone_count() <= 8192);
-    told.streamed(version({box(1), box(3)}), noon + 30'000 * test_second);
-    CHECK(told.router.state(1) == Listed::Gone);
+        fixture.update_from_coordinator(listing({box(100 + static_cast<CacheId>(i), Listed::Gone)}),
+                                        noon + i * test_second);
+    CHECK(fixture.endpoints.gone_count() <= 8192);
+    fixture.update_from_stream(version({box(1), box(3)}), noon + 30'000 * test_second);
+    CHECK(fixture.router.state(1) == Listed::Gone);
 }
 
-// Any order of lists and versions: what the router believes is what the table in the header says, and nothing
-// drained or gone by the coordinator's last word is ever ready.
-TEST_CASE("orders drawn by chance agree with the rule worked out anew") {
+// In any order of lists and versions, the router's list follows the table in the header, and a box that is
+// draining or gone according to the coordinator's last update is never ready.
+TEST_CASE("random updates give the list that the merge rule gives when computed from scratch") {
     for (unsigned seed = 1; seed <= 200; seed++) {
-        std::mt19937 chance(seed);
-        auto draw = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+        std::mt19937 generator(seed);
+        auto draw = [&](int n) { return static_cast<int>(generator() % static_cast<unsigned>(n)); };
         auto membership = seed % 2 ? operate::Membership::Merged : operate::Membership::Streamed;
-        Told told(membership);
+        MergeFixture fixture(membership);
         std::map<CacheId, Listed> list, stream;
         bool has_version = false;
-        auto some = [&] {
+        auto random_boxes = [&] {
             std::vector<feed::Endpoint> all;
             for (CacheId id = 1; id <= 6; id++)
                 if (draw(2)) all.push_back(box(id, static_cast<Listed>(draw(3)), 80 + draw(2)));
             return all;
         };
         for (int step = 0; step < 40; step++) {
-            auto all = some();
+            auto all = random_boxes();
             if (draw(2)) {
                 bool complete = draw(4) == 0;
                 if (complete)
                     for (auto& [id, state] : list) state = Listed::Gone;
                 for (auto& one : all) list[one.entry.id] = one.entry.listed;
-                told.platform(listing(all, complete), noon + step);
+                fixture.update_from_coordinator(listing(all, complete), noon + step);
             } else {
                 has_version = draw(5) > 0;
                 stream.clear();
                 if (has_version)
                     for (auto& one : all) stream[one.entry.id] = one.entry.listed;
-                told.streamed(has_version ? version(all) : nullptr, noon + step);
+                fixture.update_from_stream(has_version ? version(all) : nullptr, noon + step);
             }
             for (CacheId id = 1; id <= 6; id++) {
                 bool listed = list.contains(id), named = stream.contains(id);
                 auto has = [&](Listed state) {
                     return (listed && list[id] == state) || (named && stream[id] == state);
                 };
-                auto wanted = Listed::Gone;
+                auto expected = Listed::Gone;
                 bool by_stream = has_version && membership == operate::Membership::Streamed;
                 if (((listed && !by_stream) || named) && !has(Listed::Gone))
-                    wanted = has(Listed::Draining) ? Listed::Draining : Listed::Ready;
-                REQUIRE_MESSAGE(told.router.state(id) == wanted,
+                    expected = has(Listed::Draining) ? Listed::Draining : Listed::Ready;
+                REQUIRE_MESSAGE(fixture.router.state(id) == expected,
                                 "seed " << seed << " step " << step << " id " << id);
             }
         }
