--- a/src/operate/plan.cpp
+++ b/src/operate/plan.cpp
@@ -9,212 +9,218 @@
 
 using nlohmann::json;
 
-constexpr std::size_t most_services = 8, longest_path = 1000;
-constexpr double mb = 1 << 20;
+constexpr std::size_t max_services = 8, max_path_length = 1000;
+constexpr double megabyte = 1 << 20;
 
-// One object of the file: each member is asked for by name, and what nobody asked for is a fault.
-class Members {
+// Reads the members of one object of the file by name. The destructor reports members that nobody read.
+class MemberReader {
 public:
-    Members(const json& told, std::string path, std::vector<ConfigError>& faults)
-        : told(told), path(std::move(path)), faults(faults) {
-        if (!told.is_object()) fault("", "an object in { } is expected");
+    MemberReader(const json& object, std::string path, std::vector<ConfigError>& errors)
+        : object(object), path(std::move(path)), errors(errors) {
+        if (!object.is_object()) add_error("", "an object in { } is expected");
     }
-    Members(const Members&) = delete;
-    Members& operator=(const Members&) = delete;
-    // NOLINTNEXTLINE(bugprone-exception-escape): only for want of memory, which ends the process anyway.
-    ~Members() {
-        if (!told.is_object()) return;
-        for (auto& [name, value] : told.items())
-            if (std::find(asked.begin(), asked.end(), name) == asked.end())
-                fault(name, "no such member; known here: " + listed());
+    MemberReader(const MemberReader&) = delete;
+    MemberReader& operator=(const MemberReader&) = delete;
+    // NOLINTNEXTLINE(bugprone-exception-escape): only when memory runs out, which ends the process anyway.
+    ~MemberReader() {
+        if (!object.is_object()) return;
+        for (auto& [name, value] : object.items())
+            if (std::find(known_names.begin(), known_names.end(), name) == known_names.end())
+                add_error(name, "no such member; known here: " + joined_names());
     }
     const json* find(const char* name) {
-        asked.emplace_back(name);
-        if (!told.is_object()) return nullptr;
-        auto found = told.find(name);
-        return found == told.end() ? nullptr : &*found;
+        known_names.emplace_back(name);
+        if (!object.is_object()) return nullptr;
+        auto found = object.find(name);
+        return found == object.end() ? nullptr : &*found;
     }
-    template <class Value, class Good>
-    void read(const char* name, Value& into, const char* expected, Good good) {
+    template <class Value, class IsValid>
+    void read(const char* name, Value& target, const char* expected, IsValid is_valid) {
         auto* found = find(name);
         if (!found) return;
-        if (!good(*found))
-            fault(name, std::string(expected) + " is expected, not " + found->dump().substr(0, 60));
+        if (!is_valid(*found))
+            add_error(name, std::string(expected) + " is expected, not " + found->dump().substr(0, 60));
         else
-            into = found->template get<Value>();
+            target = found->template get<Value>();
     }
-    void number(const char* name, double& into, double least, double most) {
-        auto expected = "a number from " + json(least).dump() + " to " + json(most).dump();
-        read(name, into, expected.c_str(), [&](const json& value) {
-            return value.is_number() && value.get<double>() >= least && value.get<double>() <= most;
+    void read_number(const char* name, double& target, double min_value, double max_value) {
+        auto expected = "a number from " + json(min_value).dump() + " to " + json(max_value).dump();
+        read(name, target, expected.c_str(), [&](const json& value) {
+            return value.is_number() && value.get<double>() >= min_value && value.get<double>() <= max_value;
         });
     }
-    void yes_or_no(const char* name, bool& into) {
-        read(name, into, "true or false", [](const json& value) { return value.is_boolean(); });
+    void read_bool(const char* name, bool& target) {
+        read(name, target, "true or false", [](const json& value) { return value.is_boolean(); });
     }
-    void text(const char* name, std::string& into, std::size_t longest) {
-        read(name, into, "a text that is not empty and not longer than allowed", [&](const json& value) {
+    void read_string(const char* name, std::string& target, std::size_t max_length) {
+        read(name, target, "a string that is not empty and not longer than allowed", [&](const json& value) {
             return value.is_string() && !value.get<std::string>().empty() &&
-                   value.get<std::string>().size() <= longest;
+                   value.get<std::string>().size() <= max_length;
         });
     }
-    void fault(const std::string& name, std::string what) {
+    void add_error(const std::string& name, std::string what) {
         auto where = path.empty() ? name : name.empty() ? path : path + "." + name;
-        faults.push_back({where.empty() ? "the file" : where, std::move(what)});
+        errors.push_back({where.empty() ? "the file" : where, std::move(what)});
     }
-    Members inner(const std::string& name, const json& value) const {
-        return {value, path.empty() ? name : path + "." + name, faults};
+    MemberReader member_reader(const std::string& name, const json& value) const {
+        return {value, path.empty() ? name : path + "." + name, errors};
     }
 
 private:
-    std::string listed() const {
-        std::string all;
-        for (auto& name : asked) all += (all.empty() ? "" : ", ") + name;
-        return all;
+    std::string joined_names() const {
+        std::string names;
+        for (auto& name : known_names) names += (names.empty() ? "" : ", ") + name;
+        return names;
     }
-    const json& told;
+    const json& object;
     std::string path;
-    std::vector<ConfigError>& faults;
-    std::vector<std::string> asked;
+    std::vector<ConfigError>& errors;
+    std::vector<std::string> known_names;
 };
 
 template <class T>
-void word(Members& members, const char* name, T& into,
-          std::initializer_list<std::pair<const char*, T>> known) {
+void read_word(MemberReader& members, const char* name, T& target,
+               std::initializer_list<std::pair<const char*, T>> words) {
     auto* found = members.find(name);
     if (!found) return;
-    std::string words;
-    for (auto& [text, meaning] : known) {
-        if (*found == text) {
-            into = meaning;
+    std::string expected;
+    for (auto& [word, meaning] : words) {
+        if (*found == word) {
+            target = meaning;
             return;
         }
-        words += std::string(words.empty() ? "\"" : " or \"") + text + "\"";
+        expected += std::string(expected.empty() ? "\"" : " or \"") + word + "\"";
     }
-    members.fault(name, words + " is expected, not " + found->dump().substr(0, 60));
+    members.add_error(name, expected + " is expected, not " + found->dump().substr(0, 60));
 }
 
-void read_services(Members& members, ControlConfig& control) {
-    auto* told = members.find("services");
-    if (!told || !told->is_array() || told->empty() || told->size() > most_services)
-        return members.fault("services", "a list of 1 to 8 addresses such as \"10.2.0.1:18000\" is expected");
-    for (std::size_t i = 0; i < told->size(); i++) try {
-            auto& one = told->at(i);
-            if (!one.is_string()) throw site::Unusable(one.dump().substr(0, 60) + " is no address");
-            auto address = feed::read_address(one.get<std::string>());
-            if (address.port == 0) throw site::Unusable(one.dump() + " has no port");
+void read_services(MemberReader& members, ControlConfig& control) {
+    auto* list = members.find("services");
+    if (!list || !list->is_array() || list->empty() || list->size() > max_services)
+        return members.add_error("services",
+                                 "a list of 1 to 8 addresses such as \"10.2.0.1:18000\" is expected");
+    for (std::size_t i = 0; i < list->size(); i++) try {
+            auto& service = list->at(i);
+            if (!service.is_string()) throw site::Unusable(service.dump().substr(0, 60) + " is no address");
+            auto address = feed::read_address(service.get<std::string>());
+            if (address.port == 0) throw site::Unusable(service.dump() + " has no port");
             if (std::count(control.services.begin(), control.services.end(), address))
-                throw site::Unusable(one.dump() + " stands there twice");
+                throw site::Unusable(service.dump() + " is listed twice");
             control.services.push_back(address);
         } catch (const site::Unusable& error) {
-            members.fault("services[" + std::to_string(i) + "]",
-                          std::string(error.what()) + "; \"10.2.0.1:18000\" is the form");
+            members.add_error("services[" + std::to_string(i) + "]",
+                              std::string(error.what()) + "; \"10.2.0.1:18000\" is the form");
         }
 }
 
-void read_kinds(Members& members, ControlConfig& control) {
-    auto* told = members.find("kinds");
-    if (!told) return;
+void read_kinds(MemberReader& members, ControlConfig& control) {
+    auto* list = members.find("kinds");
+    if (!list) return;
     control.kinds.clear();
-    if (!told->is_array() || told->empty()) return members.fault("kinds", "a list of names is expected");
-    for (auto& one : *told) {
-        if (one == "boxes")
+    if (!list->is_array() || list->empty()) return members.add_error("kinds", "a list of names is expected");
+    for (auto& kind : *list) {
+        if (kind == "boxes")
             control.kinds.push_back(discovery::Kind::Boxes);
-        else if (one == "amounts")
+        else if (kind == "amounts")
             control.kinds.push_back(discovery::Kind::Amounts);
-        else if (one == "rules")
+        else if (kind == "rules")
             control.kinds.push_back(discovery::Kind::Rules);
         else
-            members.fault("kinds",
-                          R"("boxes", "amounts" or "rules" is expected, not )" + one.dump().substr(0, 60));
+            members.add_error(
+                "kinds", R"("boxes", "amounts" or "rules" is expected, not )" + kind.dump().substr(0, 60));
     }
     auto repeated = control.kinds;
     std::sort(repeated.begin(), repeated.end());
     if (std::adjacent_find(repeated.begin(), repeated.end()) != repeated.end())
-        members.fault("kinds", "a name stands there twice");
+        members.add_error("kinds", "a name is listed twice");
 }
 
-void read_trial(Members& members, ControlConfig& control) {
-    auto* told = members.find("trial");
-    if (!told) return;
-    if (*told == false) {
+void read_trial(MemberReader& members, ControlConfig& control) {
+    auto* value = members.find("trial");
+    if (!value) return;
+    if (*value == false) {
         control.canary = false;
         return;
     }
-    auto trial = members.inner("trial", *told);
+    auto trial = members.member_reader("trial", *value);
     auto seconds = static_cast<double>(control.canary_duration) / 1e6;
-    trial.number("for_s", seconds, 2, 600);
-    trial.number("rise", control.canary_min_increase, 0.01, 1);
+    trial.read_number("for_s", seconds, 2, 600);
+    trial.read_number("rise", control.canary_min_increase, 0.01, 1);
     control.canary_duration = static_cast<Micros>(seconds * 1e6);
 }
 
-void read_control(Members& members, ControlConfig& control) {
+void read_control(MemberReader& members, ControlConfig& control) {
     read_services(members, control);
     read_kinds(members, control);
     read_trial(members, control);
-    word(members, "form", control.form,
-         {{"whole", discovery::Form::Whole}, {"incremental", discovery::Form::Changes}});
-    word(members, "membership", control.membership,
-         {{"merged", Membership::Merged}, {"streamed", Membership::Streamed}});
-    members.text("cluster", control.cluster, 200);
+    read_word(members, "form", control.form,
+              {{"whole", discovery::Form::Whole}, {"incremental", discovery::Form::Changes}});
+    read_word(members, "membership", control.membership,
+              {{"merged", Membership::Merged}, {"streamed", Membership::Streamed}});
+    members.read_string("cluster", control.cluster, 200);
     double megabytes = 0;
-    members.number("longest_version_mb", megabytes, 0.01, 64);
-    control.max_version_bytes = static_cast<std::size_t>(megabytes * mb);
+    members.read_number("longest_version_mb", megabytes, 0.01, 64);
+    control.max_version_bytes = static_cast<std::size_t>(megabytes * megabyte);
 }
 
-void read_store(Members& members, StoreConfig& store) {
-    members.text("path", store.path, longest_path);
-    if (store.path.empty()) members.fault("path", "the folder of the store is to be named");
-    auto megabytes = static_cast<double>(store.max_bytes) / mb;
-    members.number("megabytes", megabytes, 1, 4096);
-    store.max_bytes = static_cast<std::size_t>(megabytes * mb) / 4096 * 4096;
-    members.yes_or_no("sync", store.sync);
+void read_store(MemberReader& members, StoreConfig& store) {
+    members.read_string("path", store.path, max_path_length);
+    if (store.path.empty()) members.add_error("path", "the directory of the store is not given");
+    auto megabytes = static_cast<double>(store.max_bytes) / megabyte;
+    members.read_number("megabytes", megabytes, 1, 4096);
+    store.max_bytes = static_cast<std::size_t>(megabytes * megabyte) / 4096 * 4096;
+    members.read_bool("sync", store.sync);
 }
 
-void read_rules(Members& members, RulesConfig& rules) {
-    members.text("file", rules.file, longest_path);
+void read_rules(MemberReader& members, RulesConfig& rules) {
+    members.read_string("file", rules.file, max_path_length);
     auto budget = static_cast<double>(rules.budget);
-    members.number("budget", budget, 100, 1e9);
+    members.read_number("budget", budget, 100, 1e9);
     rules.budget = static_cast<std::uint64_t>(budget);
 }
 
-void read_peers(Members& members, PeersConfig& peers) {
-    auto time = [&](const char* name, Micros& into, double least, double most) {
-        auto ms = static_cast<double>(into) / 1000;
-        members.number(name, ms, least, most);
-        into = static_cast<Micros>(ms * 1000);
+void read_peers(MemberReader& members, PeersConfig& peers) {
+    auto read_time = [&](const char* name, Micros& target, double min_ms, double max_ms) {
+        auto ms = static_cast<double>(target) / 1000;
+        members.read_number(name, ms, min_ms, max_ms);
+        target = static_cast<Micros>(ms * 1000);
     };
-    time("period_ms", peers.probe_interval, 100, 10'000);
-    members.number("bytes_per_s", peers.bytes_per_s, 100, 100'000);
-    time("shortest_ms", peers.min_suspicion, 200, 60'000);
-    time("longest_ms", peers.max_suspicion, 200, 600'000);
-    time("gap_ms", peers.pause_threshold, 50, 10'000);
-    members.yes_or_no("state_transfer", peers.state_transfer);
-    if (peers.max_suspicion < peers.min_suspicion) members.fault("longest_ms", "it is under shortest_ms");
+    read_time("period_ms", peers.probe_interval, 100, 10'000);
+    members.read_number("bytes_per_s", peers.bytes_per_s, 100, 100'000);
+    read_time("shortest_ms", peers.min_suspicion, 200, 60'000);
+    read_time("longest_ms", peers.max_suspicion, 200, 600'000);
+    read_time("gap_ms", peers.pause_threshold, 50, 10'000);
+    members.read_bool("state_transfer", peers.state_transfer);
+    if (peers.max_suspicion < peers.min_suspicion)
+        members.add_error("longest_ms", "it is less than shortest_ms");
     if (peers.pause_threshold * 2 > peers.probe_interval * 3)
-        members.fault("gap_ms", "it is over one and a half periods: pauses would pass for others' silence");
+        members.add_error("gap_ms",
+                          "it is more than one and a half times period_ms: pauses of this router would look "
+                          "like silence of its peers");
 }
 
-void read_shared(Members& members, SharedStateConfig& shared) {
-    members.yes_or_no("facts", shared.facts);
-    members.yes_or_no("judgements", shared.health_reports);
-    members.yes_or_no("counts", shared.counts);
-    auto* told = members.find("rights");
-    if (!told) return;
-    if (told->is_boolean()) {
-        shared.quotas = told->get<bool>();
+void read_shared(MemberReader& members, SharedStateConfig& shared) {
+    members.read_bool("facts", shared.facts);
+    members.read_bool("judgements", shared.health_reports);
+    members.read_bool("counts", shared.counts);
+    auto* value = members.find("rights");
+    if (!value) return;
+    if (value->is_boolean()) {
+        shared.quotas = value->get<bool>();
         return;
     }
-    auto quotas = members.inner("rights", *told);
-    double owners = shared.lease_grantors, lease = static_cast<double>(shared.lease_duration) / 1000;
-    quotas.number("owners", owners, 1, 64);
-    if (owners != static_cast<int>(owners)) quotas.fault("owners", "a whole number is expected");
-    quotas.number("loan_ms", lease, 200, 10'000);
-    shared.lease_grantors = static_cast<int>(owners);
-    shared.lease_duration = static_cast<Micros>(lease * 1000);
+    auto quotas = members.member_reader("rights", *value);
+    double lease_grantors = shared.lease_grantors,
+           lease_ms = static_cast<double>(shared.lease_duration) / 1000;
+    quotas.read_number("owners", lease_grantors, 1, 64);
+    if (lease_grantors != static_cast<int>(lease_grantors))
+        quotas.add_error("owners", "a whole number is expected");
+    quotas.read_number("loan_ms", lease_ms, 200, 10'000);
+    shared.lease_grantors = static_cast<int>(lease_grantors);
+    shared.lease_duration = static_cast<Micros>(lease_ms * 1000);
 }
 
-std::string line_of(std::string_view text, std::size_t byte) {
+std::string position_of(std::string_view text, std::size_t byte) {
     auto before = text.substr(0, std::min(byte > 0 ? byte - 1 : 0, text.size()));
     auto line = std::count(before.begin(), before.end(), '\n') + 1;
     auto start = before.rfind('\n');
@@ -222,59 +228,62 @@
     return "line " + std::to_string(line) + ", column " + std::to_string(column);
 }
 
-// Guards against a member that stands twice, of which the library would keep the last without a word.
-json parse_json(std::string_view text, std::vector<ConfigError>& faults) {
-    std::vector<std::vector<std::string>> open;
-    auto watch = [&](int, json::parse_event_t event, json& value) {
-        if (event == json::parse_event_t::object_start) open.emplace_back();
-        if (event == json::parse_event_t::object_end) open.pop_back();
+// Reports a member that appears twice; the library would silently keep the last one.
+json parse_json(std::string_view text, std::vector<ConfigError>& errors) {
+    std::vector<std::vector<std::string>> names_of_open_objects;
+    auto check_duplicates = [&](int, json::parse_event_t event, json& value) {
+        if (event == json::parse_event_t::object_start) names_of_open_objects.emplace_back();
+        if (event == json::parse_event_t::object_end) names_of_open_objects.pop_back();
         if (event == json::parse_event_t::key) {
             auto name = value.get<std::string>();
-            if (std::count(open.back().begin(), open.back().end(), name))
-                faults.push_back({name, "the member stands there twice"});
-            open.back().push_back(name);
+            if (std::count(names_of_open_objects.back().begin(), names_of_open_objects.back().end(), name))
+                errors.push_back({name, "the member appears twice"});
+            names_of_open_objects.back().push_back(name);
         }
         return true;
     };
-    return json::parse(text, watch, true, true);
+    return json::parse(text, check_duplicates, true, true);
 }
 
 }  // namespace
 
 ParseResult parse(std::string_view text) {
-    ParseResult read;
-    json told;
+    ParseResult result;
+    json object;
     try {
-        told = parse_json(text, read.errors);
+        object = parse_json(text, result.errors);
     } catch (const json::parse_error& error) {
         std::string what = error.what();
-        auto said = what.find("syntax error");  // the library says the place again before it
-        read.errors.push_back({line_of(text, error.byte), what.substr(said == std::string::npos ? 0 : said)});
-        return read;
+        // The text of the exception begins with the position, which `where` tells already.
+        auto start = what.find("syntax error");
+        result.errors.push_back(
+            {position_of(text, error.byte), what.substr(start == std::string::npos ? 0 : start)});
+        return result;
     }
-    Members members(told, "", read.errors);
+    MemberReader members(object, "", result.errors);
     if (auto* control = members.find("control")) {
-        auto inner = members.inner("control", *control);
-        read_control(inner, read.config.control.emplace());
+        auto reader = members.member_reader("control", *control);
+        read_control(reader, result.config.control.emplace());
     }
     if (auto* store = members.find("store")) {
-        auto inner = members.inner("store", *store);
-        read_store(inner, read.config.store.emplace());
+        auto reader = members.member_reader("store", *store);
+        read_store(reader, result.config.store.emplace());
     }
     if (auto* rules = members.find("rules")) {
-        auto inner = members.inner("rules", *rules);
-        read_rules(inner, read.config.rules.emplace());
+        auto reader = members.member_reader("rules", *rules);
+        read_rules(reader, result.config.rules.emplace());
     }
     if (auto* peers = members.find("peers")) {
-        auto inner = members.inner("peers", *peers);
-        read_peers(inner, read.config.peers.emplace());
+        auto reader = members.member_reader("peers", *peers);
+        read_peers(reader, result.config.peers.emplace());
     }
     if (auto* shared = members.find("shared")) {
-        auto inner = members.inner("shared", *shared);
-        read_shared(inner, read.config.shared.emplace());
-        if (!read.config.peers) members.fault("shared", "it needs 'peers', over which the routers talk");
+        auto reader = members.member_reader("shared", *shared);
+        read_shared(reader, result.config.shared.emplace());
+        if (!result.config.peers)
+            members.add_error("shared", "it needs the member 'peers', which connects the routers");
     }
-    return read;
+    return result;
 }
 
 }  // namespace quillgrade::operate
