--- a/src/operate/plan.hpp
+++ b/src/operate/plan.hpp
@@ -55,13 +55,15 @@
 // Membership among the routers of a tier (docs/membership.md), where the settings allow it; the member
 // "peers".
 struct PeersConfig {
-    Micros probe_interval = 333'000;   // 100 ms to 10 s
-    double bytes_per_s = 300;          // sent, without the headers of UDP and IP; 100 to 100,000
-    Micros min_suspicion = 2'100'000;  // until a peer that others suspect too is declared dead
-    Micros max_suspicion = 8'000'000;  // the same of a peer that nobody else suspects
-    Micros pause_threshold = 250'000;  // an event loop pass later by more: this router was paused
-    bool state_transfer =
-        false;  // a new router asks its peers for all member states (docs/state-transfer.md)
+    Micros probe_interval = 333'000;  // 100 ms to 10 s
+    double bytes_per_s = 300;         // sent, without the headers of UDP and IP; 100 to 100,000
+    // From a suspicion until the peer is declared dead: if others suspect it too, and if nobody else does.
+    Micros min_suspicion = 2'100'000;
+    Micros max_suspicion = 8'000'000;
+    // A pass of the event loop that is late by more means that this router was paused.
+    Micros pause_threshold = 250'000;
+    // A new router asks its peers for the states of all members (docs/state-transfer.md).
+    bool state_transfer = false;
     bool operator==(const PeersConfig&) const = default;
 };
 
