--- a/tests/version_test.cpp
+++ b/tests/version_test.cpp
@@ -90,12 +90,12 @@
         return reply;
     }
     std::uint64_t active_number() const {
-        auto& now = version_of(versions.active(), Kind::Boxes);
-        return now ? now->bundle.number : 0;
+        auto& active = version_of(versions.active(), Kind::Boxes);
+        return active ? active->bundle.number : 0;
     }
     std::size_t active_endpoints() const {
-        auto& now = version_of(versions.active(), Kind::Boxes);
-        return now ? now->endpoints.size() : 0;
+        auto& active = version_of(versions.active(), Kind::Boxes);
+        return active ? active->endpoints.size() : 0;
     }
     VersionManager versions;
     LookupCounts counts;
@@ -488,8 +488,8 @@
         auto draw = [&](unsigned n) { return generator.next() % n; };
         ManagerFixture fixture({true, 4 * test_second, 0.1});
         Micros now = noon;
-        std::map<std::string, int> answers;  // by nonce
-        std::map<std::string, bool> good;    // by nonce: whether it may be acknowledged
+        std::map<std::string, int> reply_counts;          // by nonce
+        std::map<std::string, bool> may_be_acknowledged;  // by nonce
         std::map<std::pair<std::string, std::uint64_t>, int>
             contents;                                  // of valid versions, by identity and number
         std::map<std::string, std::uint64_t> highest;  // active so far, by identity
@@ -515,14 +515,14 @@
             before = active;
             for (auto& reply : fixture.versions.take_replies()) {
                 auto& request = reply.request;
-                answers[request.nonce]++;
+                reply_counts[request.nonce]++;
                 if (!request.reason) {
-                    REQUIRE(good[request.nonce]);
-                    REQUIRE(answers[request.nonce] == 1);
+                    REQUIRE(may_be_acknowledged[request.nonce]);
+                    REQUIRE(reply_counts[request.nonce] == 1);
                 }
                 // A second reply to a nonce reports a rollback and nothing else.
-                if (answers[request.nonce] == 2) REQUIRE(request.reason->starts_with("rolled back"));
-                REQUIRE(answers[request.nonce] <= 2);
+                if (reply_counts[request.nonce] == 2) REQUIRE(request.reason->starts_with("rolled back"));
+                REQUIRE(reply_counts[request.nonce] <= 2);
             }
         };
         std::uint64_t number = 1;
@@ -534,18 +534,18 @@
                 case 2: {  // a version of kind Boxes
                     const char* identity = draw(8) ? "ctl-a" : "ctl-b";
                     number = draw(4) ? number + 1 : number > 2 ? number - draw(2) : number;
-                    bool bad = draw(4) == 0, needs = draw(4) == 0;
+                    bool is_invalid = draw(4) == 0, needs = draw(4) == 0;
                     Box invalid{"s-0000000z", "", "", "", 1};
                     auto made = offer(Kind::Boxes, number,
                                       {boxes("east",
-                                             {bad       ? invalid
-                                              : draw(2) ? Box{}
-                                                        : other()},
+                                             {is_invalid ? invalid
+                                              : draw(2)  ? Box{}
+                                                         : other()},
                                              needs ? "busy" : nullptr)},
                                       identity);
                     made.nonce = "n" + std::to_string(++nonces);
-                    good[made.nonce] = !bad;
-                    if (!bad) contents[{identity, number}]++;
+                    may_be_acknowledged[made.nonce] = !is_invalid;
+                    if (!is_invalid) contents[{identity, number}]++;
                     fixture.versions.receive(1 + draw(2), made, false, now);
                     break;
                 }
@@ -553,7 +553,7 @@
                     auto made = offer(Kind::Amounts, 1000 + static_cast<std::uint64_t>(event),
                                       {amounts(draw(2) ? "busy" : "calm", 1 + draw(8))});
                     made.nonce = "n" + std::to_string(++nonces);
-                    good[made.nonce] = true;
+                    may_be_acknowledged[made.nonce] = true;
                     fixture.versions.receive(1, made, false, now);
                     break;
                 }
