--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -11,18 +11,20 @@
 constexpr std::size_t max_gone = 4096;  // beyond it, ids of servers that are gone are forgotten after a time
 constexpr Micros gone_retention = 600'000'000;
 
-int severity(Listed listed) { return listed == Listed::Gone ? 2 : listed == Listed::Draining ? 1 : 0; }
+int severity(EndpointState listed) {
+    return listed == EndpointState::Gone ? 2 : listed == EndpointState::Draining ? 1 : 0;
+}
 
 bool equal(const feed::Endpoint& a, const feed::Endpoint& b) {
-    return std::tie(a.address, a.port, a.entry.listed, a.entry.rating, a.entry.kind, a.entry.cell,
-                    a.entry.zone, a.entry.started) == std::tie(b.address, b.port, b.entry.listed,
-                                                               b.entry.rating, b.entry.kind, b.entry.cell,
-                                                               b.entry.zone, b.entry.started);
+    return std::tie(a.address, a.port, a.entry.state, a.entry.weight, a.entry.kind, a.entry.cell,
+                    a.entry.zone, a.entry.started_at) == std::tie(b.address, b.port, b.entry.state,
+                                                                  b.entry.weight, b.entry.kind, b.entry.cell,
+                                                                  b.entry.zone, b.entry.started_at);
 }
 
 }  // namespace
 
-MergedEndpoints::MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
+MergedEndpoints::MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
                                  operate::Membership membership)
     : zone(facts.zone),
       parent_kind(facts.parent_kind),
@@ -48,19 +50,19 @@
     auto by_coordinator = listed.find(id);
     bool is_listed = by_coordinator != listed.end();
     bool only_streamed = streamed_endpoints && membership == operate::Membership::Streamed;
-    if (gone.contains(id) || (streamed && streamed->entry.listed == Listed::Gone)) return {};
+    if (gone.contains(id) || (streamed && streamed->entry.state == EndpointState::Gone)) return {};
     if (!streamed) return is_listed && !only_streamed ? std::optional(by_coordinator->second) : std::nullopt;
     auto by_stream = *streamed;
     if (auto assumed = assumed_starts.find(id);
-        by_stream.entry.started == 0 && assumed != assumed_starts.end())
-        by_stream.entry.started = assumed->second;
+        by_stream.entry.started_at == 0 && assumed != assumed_starts.end())
+        by_stream.entry.started_at = assumed->second;
     if (!is_listed) return by_stream;
     auto merged = only_streamed ? by_stream : by_coordinator->second;
-    merged.entry.started = std::max(by_stream.entry.started, by_coordinator->second.entry.started);
-    if (severity(by_stream.entry.listed) > severity(merged.entry.listed))
-        merged.entry.listed = by_stream.entry.listed;
-    if (severity(by_coordinator->second.entry.listed) > severity(merged.entry.listed))
-        merged.entry.listed = by_coordinator->second.entry.listed;
+    merged.entry.started_at = std::max(by_stream.entry.started_at, by_coordinator->second.entry.started_at);
+    if (severity(by_stream.entry.state) > severity(merged.entry.state))
+        merged.entry.state = by_stream.entry.state;
+    if (severity(by_coordinator->second.entry.state) > severity(merged.entry.state))
+        merged.entry.state = by_coordinator->second.entry.state;
     return merged;
 }
 
@@ -74,7 +76,7 @@
         changes.caches.push_back(*merged);
         announced[id] = *merged;
     } else if (known != announced.end()) {
-        known->second.entry.listed = Listed::Gone;
+        known->second.entry.state = EndpointState::Gone;
         removals.caches.push_back(known->second);
         announced.erase(known);
     }
@@ -99,7 +101,7 @@
     for (auto& endpoint : update.caches) {
         auto id = endpoint.entry.id;
         touched.insert(id);
-        if (endpoint.entry.listed == Listed::Gone) {
+        if (endpoint.entry.state == EndpointState::Gone) {
             listed.erase(id);
             gone[id] = now;
         } else {
@@ -133,7 +135,7 @@
         bool known = old_box != old.end() && old_box->entry.id == id;
         bool moved = known && (old_box->address != box->address || old_box->port != box->port);
         bool is_listed = listed.contains(id);
-        if (box->entry.started == 0 && (moved || (previous && !known && !is_listed)))
+        if (box->entry.started_at == 0 && (moved || (previous && !known && !is_listed)))
             assumed_starts[id] = now;
         if (!known || moved || !equal(*old_box, *box) || affects_all)
             announce_changes(id, &*box, changes, removals);
@@ -186,9 +188,9 @@
     bool only_streamed = membership == operate::Membership::Streamed;
     std::map<int, int> before, after;  // number of ready servers, by role()
     auto count = [&](std::map<int, int>& ready_servers, const feed::Endpoint& endpoint) {
-        bool ready = endpoint.entry.listed == Listed::Ready && !gone.contains(endpoint.entry.id);
+        bool ready = endpoint.entry.state == EndpointState::Ready && !gone.contains(endpoint.entry.id);
         auto by_coordinator = listed.find(endpoint.entry.id);
-        if (by_coordinator != listed.end() && by_coordinator->second.entry.listed != Listed::Ready)
+        if (by_coordinator != listed.end() && by_coordinator->second.entry.state != EndpointState::Ready)
             ready = false;
         if (ready) ready_servers[role(endpoint)]++;
     };
--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -38,7 +38,7 @@
 
 class MergedEndpoints {
 public:
-    MergedEndpoints(const SiteFacts& facts, const std::vector<std::string>& zones,
+    MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
                     operate::Membership membership);
 
     // Both return what changes for the router: first new and changed boxes, then those that are gone (make
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -19,33 +19,35 @@
 
 }  // namespace
 
-bool newer(const Fact& one, const Fact& other) {
+bool supersedes(const Fact& one, const Fact& other) {
     // The earlier birth of two that are else the same, so that all hold the same one.
-    return std::tuple(one.time, one.gone, other.born) > std::tuple(other.time, other.gone, one.born);
+    return std::tuple(one.time, one.gone, other.first_heard) >
+           std::tuple(other.time, other.gone, one.first_heard);
 }
 
-Facts::Facts(Micros purge_done, int routers)
+ReplicatedFacts::ReplicatedFacts(Micros purge_done, int routers)
     : purge_done(purge_done), times(3 + static_cast<int>(std::ceil(std::log(routers + 1.0)))) {}
 
 // ---- what this router's own sources say
 
-feed::Listing Facts::listed(feed::Listing told, Micros now) {
+feed::Listing ReplicatedFacts::apply_listing(feed::Listing told, Micros now) {
     std::set<CacheId> named;
     for (auto& endpoint : told.caches) {
         auto& entry = endpoint.entry;
         named.insert(entry.id);
-        own(entry.id, in_ms(entry.started), entry.listed, now);
-        if (entry.listed == Listed::Gone) {
+        own(entry.id, in_ms(entry.started_at), entry.state, now);
+        if (entry.state == EndpointState::Gone) {
             servers.erase(entry.id);
             continue;
         }
         auto known = servers.find(entry.id);
-        bool closed = known != servers.end() && known->second.told.entry.listed == Listed::Ready &&
-                      known->second.shown != Listed::Ready;
+        bool closed = known != servers.end() && known->second.told.entry.state == EndpointState::Ready &&
+                      known->second.shown != EndpointState::Ready;
         auto& kept = servers[entry.id];
         kept.told = endpoint;
-        entry.listed = kept.shown = narrowed(kept, heard_live, now);
-        if (closed && entry.listed == Listed::Ready && reopened.size() < most) reopened.push_back(entry.id);
+        entry.state = kept.shown = narrowed(kept, heard_live, now);
+        if (closed && entry.state == EndpointState::Ready && reopened.size() < max_facts)
+            reopened.push_back(entry.id);
     }
     if (!told.complete) return told;
     for (auto server = servers.begin(); server != servers.end();) {
@@ -53,15 +55,15 @@
             server++;
             continue;
         }
-        own(server->first, in_ms(server->second.told.entry.started), Listed::Gone, now);
+        own(server->first, in_ms(server->second.told.entry.started_at), EndpointState::Gone, now);
         server = servers.erase(server);
     }
     return told;
 }
 
-void Facts::own(CacheId id, std::uint64_t start, Listed listed, Micros now) {
-    auto found = facts.find({About::Server, id});
-    if (listed == Listed::Ready) {
+void ReplicatedFacts::own(CacheId id, std::uint64_t start, EndpointState listed, Micros now) {
+    auto found = facts.find({FactSubject::Server, id});
+    if (listed == EndpointState::Ready) {
         // Taken back by those who said it: it is no fact any more, here.
         if (found != facts.end() && found->second.own && found->second.fact.time <= start) {
             found->second.own = false;
@@ -71,45 +73,45 @@
         return;
     }
     // What is long over where the router starts is known to all.
-    enter({About::Server, id, start, listed == Listed::Gone, in_ms(now)}, true, now);
+    enter({FactSubject::Server, id, start, listed == EndpointState::Gone, in_ms(now)}, true, now);
 }
 
-void Facts::purged(const feed::PurgeNotice& notice, Micros now) {
-    auto key = notice.object ? Key{About::Object, notice.object}
-                             : Key{About::Group, static_cast<std::uint64_t>(notice.group)};
+void ReplicatedFacts::record_purge(const feed::PurgeNotice& notice, Micros now) {
+    auto key = notice.object ? Key{FactSubject::Object, notice.object}
+                             : Key{FactSubject::Group, static_cast<std::uint64_t>(notice.group)};
     enter({key.first, key.second, in_ms(notice.at), false, in_ms(now)}, true, now);
 }
 
 // ---- what others say
 
-bool Facts::hear(const Fact& fact, Micros now, Number from) {
-    if (fact.about != About::Server && fact.time > in_ms(now + clocks_apart)) return false;
+bool ReplicatedFacts::receive(const Fact& fact, Micros now, RouterIndex from) {
+    if (fact.subject != FactSubject::Server && fact.time > in_ms(now + max_clock_skew)) return false;
     auto* known = enter(fact, false, now);
     if (!known) return false;
     known->teller = from;
-    if (fact.about != About::Server && !std::exchange(known->to_do, true))
-        untold_purges.emplace_back(fact.about, fact.key);
+    if (fact.subject != FactSubject::Server && !std::exchange(known->to_do, true))
+        untold_purges.emplace_back(fact.subject, fact.key);
     return true;
 }
 
-Facts::Known* Facts::enter(const Fact& told, bool own, Micros now) {
+ReplicatedFacts::Known* ReplicatedFacts::enter(const Fact& told, bool own, Micros now) {
     auto fact = told;
     // One born in the future, as a clock ahead has it, is as old as can be said here.
-    fact.born = std::min(fact.born, in_ms(now));
-    Key key{fact.about, fact.key};
+    fact.first_heard = std::min(fact.first_heard, in_ms(now));
+    Key key{fact.subject, fact.key};
     auto found = facts.find(key);
     if (found == facts.end()) {
-        if (facts.size() >= most && !own) {
+        if (facts.size() >= max_facts && !own) {
             seen_refused++;
             return nullptr;
         }
         // Guards against memory that grows: what this router was told itself takes the place of the oldest.
-        if (facts.size() >= most) forget(facts.find(by_order.begin()->second));
+        if (facts.size() >= max_facts) forget(facts.find(by_order.begin()->second));
         found = facts.emplace(key, Known{fact}).first;
     } else {
         auto& known = found->second;
         if (own && known.fact.time == fact.time && known.fact.gone == fact.gone) known.own = true;
-        if (!newer(fact, known.fact)) return nullptr;
+        if (!supersedes(fact, known.fact)) return nullptr;
         bool more = known.fact.time != fact.time || known.fact.gone != fact.gone;
         if (!more) {  // only its birth
             known.fact = fact;
@@ -121,7 +123,7 @@
     }
     auto& known = found->second;
     known.own = own;
-    known.teller = nobody;
+    known.teller = no_router;
     known.passed_over = 0;
     known.heard = now;
     known.order = ++last_order;
@@ -129,37 +131,39 @@
     return &known;
 }
 
-void Facts::take_out(const Key& key, Known& known) {
+void ReplicatedFacts::take_out(const Key& key, Known& known) {
     set_left(key, known, 0);
     by_order.erase(known.order);
-    if (key.first != About::Server) purge_ends.erase({end_of(known.fact), key});
+    if (key.first != FactSubject::Server) purge_ends.erase({end_of(known.fact), key});
 }
 
-void Facts::put_in(const Key& key, Known& known) {
+void ReplicatedFacts::put_in(const Key& key, Known& known) {
     set_left(key, known, times);
     by_order.emplace(known.order, key);
-    if (key.first != About::Server) purge_ends.emplace(end_of(known.fact), key);
+    if (key.first != FactSubject::Server) purge_ends.emplace(end_of(known.fact), key);
 }
 
-void Facts::set_left(const Key& key, Known& known, int left) {
+void ReplicatedFacts::set_left(const Key& key, Known& known, int left) {
     if (known.left > 0) waiting.erase({known.left, known.order, key});
     known.left = left;
     if (left > 0) waiting.insert({left, known.order, key});
 }
 
-Facts::Place Facts::forget(Place place) {
+ReplicatedFacts::Place ReplicatedFacts::forget(Place place) {
     take_out(place->first, place->second);
     return facts.erase(place);
 }
 
-std::uint64_t Facts::end_of(const Fact& purge) const { return purge.time + in_ms(purge_done + 2 * second); }
+std::uint64_t ReplicatedFacts::end_of(const Fact& purge) const {
+    return purge.time + in_ms(purge_done + 2 * second);
+}
 
-void Facts::forget_what_is_over(Micros now) {
+void ReplicatedFacts::forget_what_is_over(Micros now) {
     while (!purge_ends.empty() && in_ms(now) > purge_ends.begin()->first)
         forget(facts.find(purge_ends.begin()->second));
     // Servers stand before all purges. A server's fact is kept as long as it closes the server here.
-    static_assert(About::Server < About::Object && About::Server < About::Group);
-    for (auto known = facts.begin(); known != facts.end() && known->first.first == About::Server;) {
+    static_assert(FactSubject::Server < FactSubject::Object && FactSubject::Server < FactSubject::Group);
+    for (auto known = facts.begin(); known != facts.end() && known->first.first == FactSubject::Server;) {
         bool over = !current(known->second, now) && !servers.contains(known->first.second);
         known = over ? forget(known) : std::next(known);
     }
@@ -168,52 +172,52 @@
 // ---- what follows for the router
 
 // Whether no other server of its role and location is open here.
-bool Facts::last_of_its_role(const Entry& entry) const {
+bool ReplicatedFacts::last_of_its_role(const Entry& entry) const {
     for (auto& [id, other] : servers)
-        if (id != entry.told.entry.id && other.shown == Listed::Ready &&
+        if (id != entry.told.entry.id && other.shown == EndpointState::Ready &&
             other.told.entry.kind == entry.told.entry.kind && other.told.entry.zone == entry.told.entry.zone)
             return false;
     return true;
 }
 
-Listed Facts::narrowed(const Entry& entry, Micros live, Micros now) {
+EndpointState ReplicatedFacts::narrowed(const Entry& entry, Micros live, Micros now) {
     auto& told = entry.told.entry;
-    if (told.listed != Listed::Ready) return told.listed;
-    auto found = facts.find({About::Server, told.id});
-    if (found == facts.end()) return told.listed;
+    if (told.state != EndpointState::Ready) return told.state;
+    auto found = facts.find({FactSubject::Server, told.id});
+    if (found == facts.end()) return told.state;
     auto& known = found->second;
     // What was said of an earlier process is nothing against this one.
-    if (known.fact.time < in_ms(told.started)) return told.listed;
-    if (known.own) return told.listed;  // and the list was right after it
+    if (known.fact.time < in_ms(told.started_at)) return told.state;
+    if (known.own) return told.state;  // and the list was right after it
     if (!known.lapsed) {
         Micros since = std::max(known.heard, live);
         bool deaf = live == 0;
-        if (!deaf && now - since >= contradicted) known.lapsed = true;
+        if (!deaf && now - since >= contradiction_timeout) known.lapsed = true;
     }
-    if (known.lapsed) return told.listed;
+    if (known.lapsed) return told.state;
     // A location's last path is shut by hearsay only where nothing better can be heard.
-    if (live > 0 && entry.shown == Listed::Ready && last_of_its_role(entry)) return told.listed;
-    return Listed::Draining;
+    if (live > 0 && entry.shown == EndpointState::Ready && last_of_its_role(entry)) return told.state;
+    return EndpointState::Draining;
 }
 
-Facts::Changes Facts::pass(Micros live, Micros now) {
+ReplicatedFacts::Changes ReplicatedFacts::tick(Micros live, Micros now) {
     Changes changes;
     changes.reopened = std::exchange(reopened, {});
     heard_live = live;
     for (auto& [id, entry] : servers) {
         auto shown = narrowed(entry, live, now);
         if (shown == entry.shown) continue;
-        (shown == Listed::Ready ? changes.opened : changes.closed)++;
+        (shown == EndpointState::Ready ? changes.opened : changes.closed)++;
         entry.shown = shown;
         changes.listing.caches.push_back(entry.told);
-        changes.listing.caches.back().entry.listed = shown;
+        changes.listing.caches.back().entry.state = shown;
     }
     for (auto& key : std::exchange(untold_purges, {})) {
         auto found = facts.find(key);
         if (found == facts.end() || !std::exchange(found->second.to_do, false)) continue;
         auto& fact = found->second.fact;
-        changes.purges.push_back({fact.about == About::Object ? fact.key : 0,
-                                  fact.about == About::Group ? static_cast<int>(fact.key) : 0,
+        changes.purges.push_back({fact.subject == FactSubject::Object ? fact.key : 0,
+                                  fact.subject == FactSubject::Group ? static_cast<int>(fact.key) : 0,
                                   static_cast<Micros>(fact.time) * ms});
     }
     forget_what_is_over(now);
@@ -222,18 +226,20 @@
 
 // ---- telling
 
-bool Facts::current(const Known& known, Micros now) {
-    return !known.lapsed && in_ms(now) <= known.fact.born + in_ms(told_for);
+bool ReplicatedFacts::current(const Known& known, Micros now) {
+    return !known.lapsed && in_ms(now) <= known.fact.first_heard + in_ms(gossip_lifetime);
 }
 
-bool Facts::news() const { return !waiting.empty() && waiting.rbegin()->left > times - told_at_once; }
+bool ReplicatedFacts::has_unsent() const {
+    return !waiting.empty() && waiting.rbegin()->left > times - told_at_once;
+}
 
 // Guards against a cost that grows with what waits: a burst of purges fills the queue, and this is asked for
 // each datagram.
-std::vector<Fact> Facts::next(std::size_t most_now, Micros now, Number to) {
+std::vector<Fact> ReplicatedFacts::next_to_send(std::size_t max_count, Micros now, RouterIndex to) {
     std::vector<Fact> told;
     std::vector<Key> taken;
-    while (taken.size() < most_now && !waiting.empty()) {
+    while (taken.size() < max_count && !waiting.empty()) {
         auto key = waiting.rbegin()->key;
         auto& known = facts.at(key);
         auto left = known.left;
@@ -242,7 +248,7 @@
         taken.push_back(key);
         // Guards against tellings used up on who knows it, and may be cut off. In a tier of two there is
         // nobody else, so it is passed over a bounded number of times.
-        bool knows_it = to != nobody && known.teller == to && known.passed_over < told_at_once;
+        bool knows_it = to != no_router && known.teller == to && known.passed_over < told_at_once;
         if (knows_it)
             known.passed_over++;
         else
@@ -256,28 +262,28 @@
     return told;
 }
 
-void Facts::untold(const Fact& fact) {
-    auto found = facts.find({fact.about, fact.key});
+void ReplicatedFacts::restore_unsent(const Fact& fact) {
+    auto found = facts.find({fact.subject, fact.key});
     if (found == facts.end() || found->second.left >= times) return;
     set_left(found->first, found->second, found->second.left + 1);
 }
 
-std::uint32_t Facts::digest(Micros now) const {
+std::uint32_t ReplicatedFacts::digest(Micros now) const {
     std::uint32_t sum = 0;
     for (auto& [key, known] : facts) {
         auto& fact = known.fact;
-        if (!current(known, now) || in_ms(now) < fact.born + in_ms(settled)) continue;
+        if (!current(known, now) || in_ms(now) < fact.first_heard + in_ms(settled)) continue;
         const std::array<std::uint64_t, 3> words = {
-            fact.key, fact.time, static_cast<std::uint64_t>(fact.about) * 2 + (fact.gone ? 1 : 0)};
+            fact.key, fact.time, static_cast<std::uint64_t>(fact.subject) * 2 + (fact.gone ? 1 : 0)};
         sum += XXH32(words.data(), sizeof words, 0);
     }
     return sum;
 }
 
-std::vector<Fact> Facts::in_turn(std::size_t most_now, Micros now) {
+std::vector<Fact> ReplicatedFacts::next_in_rotation(std::size_t max_count, Micros now) {
     std::vector<Fact> told;
     auto at = facts.upper_bound(turn);
-    for (std::size_t i = 0; i < facts.size() && told.size() < most_now; i++) {
+    for (std::size_t i = 0; i < facts.size() && told.size() < max_count; i++) {
         if (at == facts.end()) at = facts.begin();
         if (current(at->second, now)) told.push_back(at->second.fact);
         turn = at->first;
@@ -286,7 +292,7 @@
     return told;
 }
 
-const Fact* Facts::find(About about, std::uint64_t key) const {
+const Fact* ReplicatedFacts::find(FactSubject about, std::uint64_t key) const {
     auto found = facts.find({about, key});
     return found == facts.end() ? nullptr : &found->second.fact;
 }
--- a/src/version/bundle.cpp
+++ b/src/version/bundle.cpp
@@ -23,12 +23,12 @@
     return description.empty() ? "nothing" : description;
 }
 
-ConfiguredLimits configured_limits(const SiteFacts& facts, const site::Terms& terms) {
+ConfiguredLimits configured_limits(const SiteSettings& facts, const site::Terms& terms) {
     return {terms,
-            facts.transmissions_cap,
-            facts.second_copies,
-            facts.most_retry_after,
-            {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.transmissions_cap},
+            facts.max_attempts,
+            facts.hedging,
+            facts.max_retry_after,
+            {terms.traffic, terms.zones, terms.kinds, facts.traffic, facts.max_attempts},
             route::usual_budget};
 }
 
--- a/src/version/bundle.hpp
+++ b/src/version/bundle.hpp
@@ -86,6 +86,6 @@
     route::Site rule_site;
     std::uint64_t rule_budget = route::usual_budget;
 };
-ConfiguredLimits configured_limits(const SiteFacts& facts, const site::Terms& terms);
+ConfiguredLimits configured_limits(const SiteSettings& facts, const site::Terms& terms);
 
 }  // namespace quillgrade::version
--- a/src/version/check.cpp
+++ b/src/version/check.cpp
@@ -222,14 +222,14 @@
     entry.cell = static_cast<int>(box.cell());
     if (box.state() < 0 || box.state() > 2)
         return add_error(where, "its state is not READY, DRAINING or GONE");
-    static constexpr std::array states = {Listed::Ready, Listed::Draining, Listed::Gone};
-    entry.listed = states[static_cast<std::size_t>(box.state())];
+    static constexpr std::array states = {EndpointState::Ready, EndpointState::Draining, EndpointState::Gone};
+    entry.state = states[static_cast<std::size_t>(box.state())];
     if (!(box.weight() >= 0 && box.weight() <= max_weight))
         return add_error(where, "its weight is not from 0 to 1e9");
-    entry.rating = box.weight() > 0 ? box.weight() : 1;
+    entry.weight = box.weight() > 0 ? box.weight() : 1;
     if (box.started_ms() < 0 || box.started_ms() > max_started_ms)
         return add_error(where, "its started_ms is not from 0 to 2^50");
-    entry.started = box.started_ms() * millisecond;
+    entry.started_at = box.started_ms() * millisecond;
     parsing->endpoints.push_back(endpoint);
     add_endpoint(endpoint, where);
 }
@@ -237,7 +237,7 @@
 void Validator::add_endpoint(const feed::Endpoint& endpoint, const std::string& where) {
     if (!ids.insert(endpoint.entry.id).second)
         return add_error(where, "id " + id_text(endpoint.entry.id) + " appears twice in this version");
-    if (endpoint.entry.listed != Listed::Gone) {
+    if (endpoint.entry.state != EndpointState::Gone) {
         auto [other, inserted] =
             addresses.try_emplace(std::uint64_t{endpoint.address} << 16 | endpoint.port, endpoint.entry.id);
         if (!inserted)
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -25,7 +25,7 @@
 constexpr Micros ms = 1000, second = 1000 * ms, step = 10 * ms;
 constexpr CacheId servers = 3;
 
-feed::Endpoint server(CacheId id, Listed listed = Listed::Ready, Micros started = 0) {
+feed::Endpoint server(CacheId id, EndpointState listed = EndpointState::Ready, Micros started = 0) {
     feed::Endpoint made;
     made.entry = {id, listed, 4, 0, 0, 1, started};
     return made;
@@ -35,38 +35,39 @@
 class Tier {
 public:
     Tier(int routers, std::uint64_t seed, double asked_per_s, rig::LinkConditions conditions,
-         Parts parts = {})
+         Features parts = {})
         : asked_per_s(asked_per_s), chance(static_cast<std::uint32_t>(seed)) {
         auto& terms = rig::partner_terms();
         terms.exchange = {};
-        terms.exchange.parts = parts;
-        terms.exchange.site = rig::shared_site();
+        terms.exchange.features = parts;
+        terms.exchange.settings = rig::shared_site();
         terms.steady = [this] { return fleet ? fleet->now() : 0; };
-        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::Rates{}, conditions);
+        fleet = std::make_unique<rig::SharedFleet>(routers, 1, seed, peers::MembershipSettings{}, conditions);
         fleet->start_all();
         feed::Listing all{true, {}};
         for (CacheId id = 1; id <= servers; id++) all.caches.push_back(server(id));
-        for (Number who = 0; who < routers; who++) list(who, all);
+        for (RouterIndex who = 0; who < routers; who++) list(who, all);
     }
-    void list(Number who, const feed::Listing& listing) {
-        fleet->visit(
-            who, [&](rig::Partner& one) { one.exchange().listed(listing, one.times(fleet->clock(who))); });
+    void list(RouterIndex who, const feed::Listing& listing) {
+        fleet->visit(who, [&](rig::Partner& one) {
+            one.exchange().apply_listing(listing, one.times(fleet->clock(who)));
+        });
     }
-    void drain(Number who, CacheId id, Micros started) {
-        list(who, {false, {server(id, Listed::Draining, started)}});
+    void drain(RouterIndex who, CacheId id, Micros started) {
+        list(who, {false, {server(id, EndpointState::Draining, started)}});
     }
     void go(Micros time) {
         boost::random::uniform_01<double> unit;
         boost::random::uniform_int_distribution<ObjectId> object(1, 2000);
         for (auto until = fleet->now() + time; fleet->now() < until;) {
             fleet->run_until(fleet->now() + step);
-            for (Number who = 0; who < fleet->count(); who++)
+            for (RouterIndex who = 0; who < fleet->count(); who++)
                 fleet->visit(who, [&](rig::Partner& one) {
                     auto times = one.times(fleet->clock(who));
                     bool asks =
                         unit(chance) * static_cast<double>(second) < asked_per_s * static_cast<double>(step);
-                    if (asks) one.exchange().asked(object(chance), times);
-                    one.exchange().at(times);
+                    if (asks) one.exchange().count_request(object(chance), times);
+                    one.exchange().set_time(times);
                     one.share(times.unix);
                 });
         }
@@ -76,27 +77,27 @@
         REQUIRE(all_alive());
     }
     bool all_alive() {
-        for (Number who = 0; who < fleet->count(); who++)
-            for (Number other = 0; other < fleet->count(); other++)
+        for (RouterIndex who = 0; who < fleet->count(); who++)
+            for (RouterIndex other = 0; other < fleet->count(); other++)
                 if (fleet->protocol(who)->membership().state(other) != peers::State::Alive) return false;
         return true;
     }
     // Router `who` is shown a payload of `from` that tells of other facts than its own.
-    void show_other_digest(Number from, Number who) {
+    void show_other_digest(RouterIndex from, RouterIndex who) {
         Payload other;
         other.digest = 0x5eed;
         fleet->visit(who, [&](rig::Partner& one) {
             auto now = fleet->clock(who);
-            one.exchange().at(one.times(now));
+            one.exchange().set_time(one.times(now));
             one.exchange().unload(from, 1, encode(other, 100, now).bytes, now);
             one.share(now);
         });
     }
 
     // Router `who` sends to another until an own datagram for the sharing has to wait.
-    void use_up_bytes(Number who, Number to) {
+    void use_up_bytes(RouterIndex who, RouterIndex to) {
         fleet->visit(who, [&](rig::Partner& one) {
-            while (one.membership().tell(to, true, fleet->clock(who))) {
+            while (one.membership().send_piggyback(to, true, fleet->clock(who))) {
             }
         });
     }
@@ -124,7 +125,7 @@
     Tier tier(6, seed, 20, {0.05, 3 * ms, 24 * ms, 0, 0});
     tier.go_until_all_are_alive();
     tier.go(second);
-    for (Number who = 1; who < tier.fleet->count(); who++) {
+    for (RouterIndex who = 1; who < tier.fleet->count(); who++) {
         tier.fleet->protocol(who)->live = 0;
         tier.fleet->cut(who, 0, true);
     }
@@ -132,7 +133,8 @@
     tier.drain(0, 1, tier.fleet->now());
     tier.go(time);
     int behind = 0;
-    for (Number who = 1; who < tier.fleet->count(); who++) behind += tier.fleet->protocol(who)->closed == 0;
+    for (RouterIndex who = 1; who < tier.fleet->count(); who++)
+        behind += tier.fleet->protocol(who)->closed == 0;
     return behind;
 }
 
@@ -152,7 +154,7 @@
         INFO("seed ", seed);
         Tier tier(8, seed, 50, {});
         tier.go_until_all_are_alive();
-        for (Number who = 0; who < tier.fleet->count(); who++) tier.drain(who, 1, 0);
+        for (RouterIndex who = 0; who < tier.fleet->count(); who++) tier.drain(who, 1, 0);
         tier.go(5 * second);
         bool told = false, shown = false;
         int datagrams = 0, with_counts = 0;
@@ -179,11 +181,11 @@
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0});
     tier.go_until_all_are_alive();
     tier.go(5 * second);
-    REQUIRE(tier.fleet->protocol(1)->exchange().known().size() == 0);
+    REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
     int told = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
-        told += from == 1 && to == 0 && sent && sent->message.kind == peers::Kind::News &&
+        told += from == 1 && to == 0 && sent && sent->message.type == peers::MessageType::Gossip &&
                 !sent->message.payload.empty();
     };
     tier.show_other_digest(0, 1);
@@ -197,7 +199,7 @@
     Tier tier(3, 1, 0, {0, 3 * ms, 24 * ms, 0, 0}, {true, false, false, false});
     tier.go_until_all_are_alive();
     tier.go(5 * second);
-    REQUIRE(tier.fleet->protocol(1)->exchange().known().size() == 0);
+    REQUIRE(tier.fleet->protocol(1)->exchange().known_facts().size() == 0);
     int told = 0;
     tier.fleet->on_send = [&](int from, int to, const std::string& bytes) {
         auto sent = decoded(tier, bytes);
@@ -209,18 +211,18 @@
 }
 
 TEST_CASE("tellings are not used up on the router that told the fact, yet end where there is no other") {
-    constexpr Number teller = 3, other = 4;
+    constexpr RouterIndex teller = 3, other = 4;
     constexpr Micros now = 1'764'576'000 * second;
-    Facts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
-    Fact drain{About::Server, 7, 0, false, now / ms};
-    facts.hear(drain, now, teller);
-    CHECK(facts.next(10, now, teller).empty());
-    CHECK(facts.news());
-    CHECK(facts.next(10, now, other) == std::vector<Fact>{drain});
-    in_a_tier_of_two.hear(drain, now, teller);
+    ReplicatedFacts facts(6 * second, 10), in_a_tier_of_two(6 * second, 2);
+    Fact drain{FactSubject::Server, 7, 0, false, now / ms};
+    facts.receive(drain, now, teller);
+    CHECK(facts.next_to_send(10, now, teller).empty());
+    CHECK(facts.has_unsent());
+    CHECK(facts.next_to_send(10, now, other) == std::vector<Fact>{drain});
+    in_a_tier_of_two.receive(drain, now, teller);
     int datagrams = 0;
-    while (in_a_tier_of_two.news() && datagrams < 100)
-        datagrams += in_a_tier_of_two.next(10, now, teller).size() < 2;
+    while (in_a_tier_of_two.has_unsent() && datagrams < 100)
+        datagrams += in_a_tier_of_two.next_to_send(10, now, teller).size() < 2;
     CHECK(datagrams == 6);
-    CHECK(!in_a_tier_of_two.news());
+    CHECK(!in_a_tier_of_two.has_unsent());
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-feed::Endpoint box(CacheId id, Listed listed = Listed::Ready, int port = 80, int kind = 0, int zone = 1) {
+feed::Endpoint box(CacheId id, EndpointState listed = EndpointState::Ready, int port = 80, int kind = 0,
+                   int zone = 1) {
     return {{id, listed, 1, kind, 0, zone, 0},
             0x0a010000U + static_cast<std::uint32_t>(id),
             static_cast<std::uint16_t>(port)};
@@ -31,7 +32,7 @@
         CHECK(!changes.complete);
         bool removals_begun = false;
         for (auto& one : changes.caches) {
-            if (one.entry.listed == Listed::Gone) {
+            if (one.entry.state == EndpointState::Gone) {
                 removals_begun = true;
                 CHECK(now.erase(one.entry.id) == 1);
             } else {
@@ -40,7 +41,9 @@
             }
         }
     }
-    Listed state(CacheId id) const { return now.contains(id) ? now.at(id).entry.listed : Listed::Gone; }
+    EndpointState state(CacheId id) const {
+        return now.contains(id) ? now.at(id).entry.state : EndpointState::Gone;
+    }
     std::map<CacheId, feed::Endpoint> now;
 };
 
@@ -62,7 +65,7 @@
 TEST_CASE("boxes of both are merged, with the coordinator's address where both list one") {
     MergeFixture fixture;
     fixture.update_from_coordinator(listing({box(1), box(2)}, true));
-    fixture.update_from_stream(version({box(2, Listed::Ready, 99), box(3, Listed::Ready, 99)}));
+    fixture.update_from_stream(version({box(2, EndpointState::Ready, 99), box(3, EndpointState::Ready, 99)}));
     CHECK(fixture.router.now.size() == 3);
     CHECK(fixture.router.now.at(2).port == 80);
     CHECK(fixture.router.now.at(3).port == 99);
@@ -73,14 +76,14 @@
 TEST_CASE("a drain holds until the side that ordered it withdraws it") {
     MergeFixture fixture;
     fixture.update_from_coordinator(listing({box(1), box(2)}, true));
-    fixture.update_from_stream(version({box(1, Listed::Draining), box(2)}));
-    CHECK(fixture.router.state(1) == Listed::Draining);
-    fixture.update_from_coordinator(listing({box(1), box(2, Listed::Draining)}));
-    CHECK(fixture.router.state(1) == Listed::Draining);
-    CHECK(fixture.router.state(2) == Listed::Draining);
+    fixture.update_from_stream(version({box(1, EndpointState::Draining), box(2)}));
+    CHECK(fixture.router.state(1) == EndpointState::Draining);
+    fixture.update_from_coordinator(listing({box(1), box(2, EndpointState::Draining)}));
+    CHECK(fixture.router.state(1) == EndpointState::Draining);
+    CHECK(fixture.router.state(2) == EndpointState::Draining);
     fixture.update_from_stream(version({box(1), box(2)}));
-    CHECK(fixture.router.state(1) == Listed::Ready);
-    CHECK(fixture.router.state(2) == Listed::Draining);
+    CHECK(fixture.router.state(1) == EndpointState::Ready);
+    CHECK(fixture.router.state(2) == EndpointState::Draining);
 }
 
 TEST_CASE("a version does not bring back a box that the coordinator reports as gone") {
@@ -88,13 +91,13 @@
         MergeFixture fixture(membership);
         fixture.update_from_coordinator(listing({box(1), box(2)}, true));
         fixture.update_from_stream(version({box(1), box(2)}));
-        fixture.update_from_coordinator(listing({box(1, Listed::Gone)}));
-        CHECK(fixture.router.state(1) == Listed::Gone);
+        fixture.update_from_coordinator(listing({box(1, EndpointState::Gone)}));
+        CHECK(fixture.router.state(1) == EndpointState::Gone);
         fixture.update_from_stream(version({box(1), box(2), box(3)}));
-        CHECK(fixture.router.state(1) == Listed::Gone);
+        CHECK(fixture.router.state(1) == EndpointState::Gone);
         fixture.update_from_coordinator(listing({box(2)}, true));  // missing from a complete list
         fixture.update_from_coordinator(listing({box(1)}));        // listed again by the coordinator itself
-        CHECK(fixture.router.state(1) == Listed::Ready);
+        CHECK(fixture.router.state(1) == EndpointState::Ready);
     }
 }
 
@@ -104,13 +107,13 @@
     MergeFixture fixture(operate::Membership::Streamed);
     fixture.update_from_coordinator(listing({box(1), box(2)}, true));
     CHECK(fixture.router.now.size() == 2);
-    fixture.update_from_stream(version({box(2, Listed::Ready, 99)}));
+    fixture.update_from_stream(version({box(2, EndpointState::Ready, 99)}));
     CHECK(fixture.router.now.size() == 1);
     CHECK(fixture.router.now.at(2).port == 99);
     fixture.update_from_coordinator(listing({box(4)}));
     CHECK(fixture.router.now.size() == 1);
-    fixture.update_from_coordinator(listing({box(2, Listed::Draining)}));
-    CHECK(fixture.router.state(2) == Listed::Draining);
+    fixture.update_from_coordinator(listing({box(2, EndpointState::Draining)}));
+    CHECK(fixture.router.state(2) == EndpointState::Draining);
     fixture.update_from_stream(nullptr);
     CHECK(fixture.router.now.size() == 3);
 }
@@ -118,41 +121,43 @@
 TEST_CASE("a box that a version adds or moves without a start counts as just started") {
     MergeFixture fixture;
     fixture.update_from_stream(version({box(1)}), noon);
-    CHECK(fixture.router.now.at(1).entry.started == 0);  // all boxes of the first version are taken for old
+    CHECK(fixture.router.now.at(1).entry.started_at ==
+          0);  // all boxes of the first version are taken for old
     fixture.update_from_stream(version({box(1), box(2)}), noon + test_second);
-    CHECK(fixture.router.now.at(2).entry.started == noon + test_second);
-    fixture.update_from_stream(version({box(1, Listed::Ready, 81), box(2)}), noon + 2 * test_second);
-    CHECK(fixture.router.now.at(1).entry.started == noon + 2 * test_second);
+    CHECK(fixture.router.now.at(2).entry.started_at == noon + test_second);
+    fixture.update_from_stream(version({box(1, EndpointState::Ready, 81), box(2)}), noon + 2 * test_second);
+    CHECK(fixture.router.now.at(1).entry.started_at == noon + 2 * test_second);
     CHECK(fixture.router.now.at(1).port == 81);
-    CHECK(fixture.router.now.at(2).entry.started == noon + test_second);
+    CHECK(fixture.router.now.at(2).entry.started_at == noon + test_second);
     CHECK(fixture.endpoints.start_times_since(noon + 3 * test_second, 1500 * test_ms).size() == 1);
     // A restart of the router keeps the start times.
     MergeFixture restarted;
     restarted.endpoints.restore_start_times(
         fixture.endpoints.start_times_since(noon + 3 * test_second, 10 * test_second));
-    restarted.update_from_stream(version({box(1, Listed::Ready, 81), box(2)}), noon + 4 * test_second);
-    CHECK(restarted.router.now.at(2).entry.started == noon + test_second);
+    restarted.update_from_stream(version({box(1, EndpointState::Ready, 81), box(2)}), noon + 4 * test_second);
+    CHECK(restarted.router.now.at(2).entry.started_at == noon + test_second);
 }
 
 TEST_CASE("boxes of other zones are not announced to the router, parents and the origin are") {
     MergeFixture fixture;
-    fixture.update_from_stream(version({box(1), box(2, Listed::Ready, 80, 0, 2),
-                                        box(3, Listed::Ready, 80, 1, 0), box(4, Listed::Ready, 80, 2, 0)}));
+    fixture.update_from_stream(
+        version({box(1), box(2, EndpointState::Ready, 80, 0, 2), box(3, EndpointState::Ready, 80, 1, 0),
+                 box(4, EndpointState::Ready, 80, 2, 0)}));
     CHECK(fixture.router.now.size() == 3);
     CHECK(fixture.endpoints.announced_count() == 3);
 }
 
 TEST_CASE("a version that would leave a zone or role without a ready server is reported with its name") {
     MergeFixture fixture;
-    auto elsewhere = box(5, Listed::Ready, 80, 0, 0);
-    auto parent = box(11, Listed::Ready, 80, 1, 0), origin = box(20, Listed::Ready, 80, 2, 0);
+    auto elsewhere = box(5, EndpointState::Ready, 80, 0, 0);
+    auto parent = box(11, EndpointState::Ready, 80, 1, 0), origin = box(20, EndpointState::Ready, 80, 2, 0);
     fixture.update_from_stream(version({box(1), elsewhere, parent, origin}));
     auto unserved = [&](std::vector<feed::Endpoint> next, const std::vector<int>& emptied = {}) {
         return fixture.endpoints.describe_unserved(Endpoints(std::move(next)), emptied).value_or("");
     };
     CHECK(unserved({box(2), elsewhere, parent, origin}) == "");
     CHECK(unserved({elsewhere, parent, origin}).find("zone 'east'") != std::string::npos);
-    CHECK(unserved({box(1, Listed::Draining), elsewhere, parent, origin}).find("zone 'east'") !=
+    CHECK(unserved({box(1, EndpointState::Draining), elsewhere, parent, origin}).find("zone 'east'") !=
           std::string::npos);
     CHECK(unserved({elsewhere, parent, origin}, {1}) == "");
     CHECK(unserved({box(1), parent, origin}).find("zone 'central'") != std::string::npos);
@@ -166,13 +171,13 @@
     MergeFixture fixture;
     fixture.update_from_stream(version({box(1)}));
     fixture.update_from_coordinator(listing({box(1), box(2)}));
-    fixture.update_from_coordinator(listing({box(1, Listed::Gone)}));
+    fixture.update_from_coordinator(listing({box(1, EndpointState::Gone)}));
     for (int i = 0; i < 20'000; i++)
-        fixture.update_from_coordinator(listing({box(100 + static_cast<CacheId>(i), Listed::Gone)}),
+        fixture.update_from_coordinator(listing({box(100 + static_cast<CacheId>(i), EndpointState::Gone)}),
                                         noon + i * test_second);
     CHECK(fixture.endpoints.gone_count() <= 8192);
     fixture.update_from_stream(version({box(1), box(3)}), noon + 30'000 * test_second);
-    CHECK(fixture.router.state(1) == Listed::Gone);
+    CHECK(fixture.router.state(1) == EndpointState::Gone);
 }
 
 // In any order of lists and versions, the router's list follows the table in the header, and a box that is
@@ -183,12 +188,12 @@
         auto draw = [&](int n) { return static_cast<int>(generator() % static_cast<unsigned>(n)); };
         auto membership = seed % 2 ? operate::Membership::Merged : operate::Membership::Streamed;
         MergeFixture fixture(membership);
-        std::map<CacheId, Listed> list, stream;
+        std::map<CacheId, EndpointState> list, stream;
         bool has_version = false;
         auto random_boxes = [&] {
             std::vector<feed::Endpoint> all;
             for (CacheId id = 1; id <= 6; id++)
-                if (draw(2)) all.push_back(box(id, static_cast<Listed>(draw(3)), 80 + draw(2)));
+                if (draw(2)) all.push_back(box(id, static_cast<EndpointState>(draw(3)), 80 + draw(2)));
             return all;
         };
         for (int step = 0; step < 40; step++) {
@@ -196,25 +201,25 @@
             if (draw(2)) {
                 bool complete = draw(4) == 0;
                 if (complete)
-                    for (auto& [id, state] : list) state = Listed::Gone;
-                for (auto& one : all) list[one.entry.id] = one.entry.listed;
+                    for (auto& [id, state] : list) state = EndpointState::Gone;
+                for (auto& one : all) list[one.entry.id] = one.entry.state;
                 fixture.update_from_coordinator(listing(all, complete), noon + step);
             } else {
                 has_version = draw(5) > 0;
                 stream.clear();
                 if (has_version)
-                    for (auto& one : all) stream[one.entry.id] = one.entry.listed;
+                    for (auto& one : all) stream[one.entry.id] = one.entry.state;
                 fixture.update_from_stream(has_version ? version(all) : nullptr, noon + step);
             }
             for (CacheId id = 1; id <= 6; id++) {
                 bool listed = list.contains(id), named = stream.contains(id);
-                auto has = [&](Listed state) {
+                auto has = [&](EndpointState state) {
                     return (listed && list[id] == state) || (named && stream[id] == state);
                 };
-                auto expected = Listed::Gone;
+                auto expected = EndpointState::Gone;
                 bool by_stream = has_version && membership == operate::Membership::Streamed;
-                if (((listed && !by_stream) || named) && !has(Listed::Gone))
-                    expected = has(Listed::Draining) ? Listed::Draining : Listed::Ready;
+                if (((listed && !by_stream) || named) && !has(EndpointState::Gone))
+                    expected = has(EndpointState::Draining) ? EndpointState::Draining : EndpointState::Ready;
                 REQUIRE_MESSAGE(fixture.router.state(id) == expected,
                                 "seed " << seed << " step " << step << " id " << id);
             }
