--- a/src/rig/scale/scenarios.cpp
+++ b/src/rig/scale/scenarios.cpp
@@ -488,7 +488,7 @@
         figures.facts_missed_share = static_cast<double>(missed) / static_cast<double>(pairs);
         figures.facts_late_share = static_cast<double>(late) / static_cast<double>(pairs);
         for (RouterIndex who = 0; who < fleet.routers(); who++)
-            figures.facts_refused += fleet.exchange(who)->known().refused();
+            figures.facts_refused += fleet.exchange(who)->known_facts().refused();
     }
 
     PurgeOptions options;
