--- a/src/node/peer_port.cpp
+++ b/src/node/peer_port.cpp
@@ -43,11 +43,11 @@
     start.generation = static_cast<peers::Generation>(now / 1000);
     start.seed = seed;
     start.now = now;
-    start.settings.probe_period = plan.probe_interval;
+    start.settings.probe_period = plan.probe_period;
     start.settings.bytes_per_s = plan.bytes_per_s;
-    start.settings.shortest_suspicion = plan.min_suspicion;
-    start.settings.longest_suspicion = plan.max_suspicion;
-    start.settings.longest_pause = plan.pause_threshold;
+    start.settings.shortest_suspicion = plan.shortest_suspicion;
+    start.settings.longest_suspicion = plan.longest_suspicion;
+    start.settings.longest_pause = plan.longest_pause;
     start.settings.state_transfer = plan.state_transfer;
     return start;
 }
--- a/src/node/sharing.cpp
+++ b/src/node/sharing.cpp
@@ -13,9 +13,9 @@
 shared::ExchangeOptions terms_of(const operate::SharedStateConfig& plan, const launch::Launch& launch,
                                  Clock& clock) {
     shared::ExchangeOptions terms;
-    terms.features = {plan.facts, plan.quotas, plan.health_reports, plan.counts};
+    terms.features = {plan.facts, plan.quotas, plan.health_reports, plan.request_counts};
     terms.settings = static_cast<const RoutingSettings&>(launch.facts);
-    terms.grantors = plan.lease_grantors;
+    terms.grantors = plan.grantors;
     terms.lease_duration = plan.lease_duration;
     terms.now = {clock.now(), Clock::steady()};
     // New with each start, so that no answer to an earlier life's ask is taken for one to this one's.
@@ -31,8 +31,9 @@
     : turn(turn), exchange(peers.membership(), terms_of(plan, launch, clock)) {
     turn.share(&exchange);
     std::string parts;
-    for (auto& [on, name] : {std::pair(plan.facts, "facts"), std::pair(plan.quotas, "rights"),
-                             std::pair(plan.health_reports, "judgements"), std::pair(plan.counts, "counts")})
+    for (auto& [on, name] :
+         {std::pair(plan.facts, "facts"), std::pair(plan.quotas, "rights"),
+          std::pair(plan.health_reports, "judgements"), std::pair(plan.request_counts, "counts")})
         if (on) parts += std::string(parts.empty() ? "" : ", ") + name;
     log::info("shared: {}", parts.empty() ? "nothing" : parts);
     if (plan.quotas && !launch.facts.weights_are_link_rates)
--- a/src/operate/plan.cpp
+++ b/src/operate/plan.cpp
@@ -185,15 +185,15 @@
         members.read_number(name, ms, min_ms, max_ms);
         target = static_cast<Micros>(ms * 1000);
     };
-    read_time("period_ms", peers.probe_interval, 100, 10'000);
+    read_time("period_ms", peers.probe_period, 100, 10'000);
     members.read_number("bytes_per_s", peers.bytes_per_s, 100, 100'000);
-    read_time("shortest_ms", peers.min_suspicion, 200, 60'000);
-    read_time("longest_ms", peers.max_suspicion, 200, 600'000);
-    read_time("gap_ms", peers.pause_threshold, 50, 10'000);
+    read_time("shortest_ms", peers.shortest_suspicion, 200, 60'000);
+    read_time("longest_ms", peers.longest_suspicion, 200, 600'000);
+    read_time("gap_ms", peers.longest_pause, 50, 10'000);
     members.read_bool("state_transfer", peers.state_transfer);
-    if (peers.max_suspicion < peers.min_suspicion)
+    if (peers.longest_suspicion < peers.shortest_suspicion)
         members.add_error("longest_ms", "it is less than shortest_ms");
-    if (peers.pause_threshold * 2 > peers.probe_interval * 3)
+    if (peers.longest_pause * 2 > peers.probe_period * 3)
         members.add_error("gap_ms",
                           "it is more than one and a half times period_ms: pauses of this router would look "
                           "like silence of its peers");
@@ -202,7 +202,7 @@
 void read_shared(MemberReader& members, SharedStateConfig& shared) {
     members.read_bool("facts", shared.facts);
     members.read_bool("judgements", shared.health_reports);
-    members.read_bool("counts", shared.counts);
+    members.read_bool("counts", shared.request_counts);
     auto* value = members.find("rights");
     if (!value) return;
     if (value->is_boolean()) {
@@ -210,13 +210,11 @@
         return;
     }
     auto quotas = members.member_reader("rights", *value);
-    double lease_grantors = shared.lease_grantors,
-           lease_ms = static_cast<double>(shared.lease_duration) / 1000;
-    quotas.read_number("owners", lease_grantors, 1, 64);
-    if (lease_grantors != static_cast<int>(lease_grantors))
-        quotas.add_error("owners", "a whole number is expected");
+    double grantors = shared.grantors, lease_ms = static_cast<double>(shared.lease_duration) / 1000;
+    quotas.read_number("owners", grantors, 1, 64);
+    if (grantors != static_cast<int>(grantors)) quotas.add_error("owners", "a whole number is expected");
     quotas.read_number("loan_ms", lease_ms, 200, 10'000);
-    shared.lease_grantors = static_cast<int>(lease_grantors);
+    shared.grantors = static_cast<int>(grantors);
     shared.lease_duration = static_cast<Micros>(lease_ms * 1000);
 }
 
--- a/src/operate/plan.hpp
+++ b/src/operate/plan.hpp
@@ -18,9 +18,10 @@
 namespace quillgrade::operate {
 
 enum class Membership {
-    Merged,   // the boxes of the coordinator and of the stream together
-    Streamed  // while a version of Boxes is active, only its boxes; drains ordered by the coordinator still
-              // hold
+    // The servers of the coordinator and of the stream together.
+    Merged,
+    // While a version of Boxes is active, only its servers. Drains ordered by the coordinator still hold.
+    Streamed
 };
 
 // Streamed configuration from control services; the member "control".
@@ -52,16 +53,16 @@
     bool operator==(const RulesConfig&) const = default;
 };
 
-// Membership among the routers of a tier (docs/membership.md), where the settings allow it; the member
-// "peers".
+// Membership among the routers of a tier (docs/membership.md), where the settings allow it.
+// The member "peers".
 struct PeersConfig {
-    Micros probe_interval = 333'000;  // 100 ms to 10 s
-    double bytes_per_s = 300;         // sent, without the headers of UDP and IP; 100 to 100,000
+    Micros probe_period = 333'000;  // 100 ms to 10 s
+    double bytes_per_s = 300;       // sent, without the headers of UDP and IP; 100 to 100,000
     // From a suspicion until the peer is declared dead: if others suspect it too, and if nobody else does.
-    Micros min_suspicion = 2'100'000;
-    Micros max_suspicion = 8'000'000;
+    Micros shortest_suspicion = 2'100'000;
+    Micros longest_suspicion = 8'000'000;
     // A pass of the event loop that is late by more means that this router was paused.
-    Micros pause_threshold = 250'000;
+    Micros longest_pause = 250'000;
     // A new router asks its peers for the states of all members (docs/state-transfer.md).
     bool state_transfer = false;
     bool operator==(const PeersConfig&) const = default;
@@ -69,8 +70,8 @@
 
 // What the routers of a tier share, on top of `peers` (docs/shared-state.md); the member "shared".
 struct SharedStateConfig {
-    bool facts = true, quotas = true, health_reports = true, counts = true;
-    int lease_grantors = 4;             // per budget of a starting server, 1 to 64; the same in all routers
+    bool facts = true, quotas = true, health_reports = true, request_counts = true;
+    int grantors = 4;                   // per budget of a starting server, 1 to 64; the same in all routers
     Micros lease_duration = 3'000'000;  // 200 ms to 10 s; the same in all routers
     bool operator==(const SharedStateConfig&) const = default;
 };
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -280,7 +280,7 @@
     auto read = operate::parse(R"({"peers": {"period_ms": 500, "bytes_per_s": 400, "gap_ms": 300}})");
     CHECK(read.errors.empty());
     REQUIRE(read.config.peers);
-    CHECK(read.config.peers->probe_interval == 500 * ms);
+    CHECK(read.config.peers->probe_period == 500 * ms);
     CHECK(read.config.peers->bytes_per_s == 400);
     CHECK(!read.config.peers->state_transfer);
     CHECK(operate::parse(R"({"peers": {"state_transfer": true}})").config.peers->state_transfer);
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -681,9 +681,9 @@
         R"({"peers": {}, "shared": {"rights": {"owners": 6, "loan_ms": 900}, "counts": false}})");
     CHECK(good.errors.empty());
     REQUIRE(good.config.shared);
-    CHECK(good.config.shared->lease_grantors == 6);
+    CHECK(good.config.shared->grantors == 6);
     CHECK(good.config.shared->lease_duration == 900 * ms);
-    CHECK(!good.config.shared->counts);
+    CHECK(!good.config.shared->request_counts);
     CHECK(good.config.shared->facts);
     CHECK(!operate::parse(R"({"peers": {}, "shared": {"rights": false}})").config.shared->quotas);
     CHECK(operate::parse(R"({"shared": {}})").errors.size() == 1);
