--- a/bench/shared_state.cpp
+++ b/bench/shared_state.cpp
@@ -278,7 +278,7 @@
             if (shared)
                 fleet->visit(i, [&](rig::Partner& one) {
                     lookup.lookups_elsewhere =
-                        one.exchange().count_request(lookup.object, one.times(fleet->clock(i)));
+                        one.exchange().count_lookup(lookup.object, one.times(fleet->clock(i)));
                     router.counting_routers = one.exchange().alive_routers_in_zone();
                 });
             askers[lookup.object].insert(i);
--- a/src/node/turn.cpp
+++ b/src/node/turn.cpp
@@ -49,7 +49,7 @@
     if (leave_by) facts.deadline = std::min(facts.deadline, *leave_by);
     facts.write = router.traffic_types[facts.traffic].write;
     if (exchange && facts.part == 0 && !facts.write)
-        facts.lookups_elsewhere = exchange->count_request(facts.object, {now, steady});
+        facts.lookups_elsewhere = exchange->count_lookup(facts.object, {now, steady});
     auto id = facts.id;
     open.try_emplace(id, arrived.caller, facts, arrived.lookup, now, base,
                      [this, id] { gathered.emplace_back(LookDue{id}); });
--- a/src/shared/exchange.cpp
+++ b/src/shared/exchange.cpp
@@ -113,7 +113,7 @@
 feed::Listing Exchange::apply_listing(feed::Listing listing, const ClockReadings& now) {
     current_time = now;
     if (options.features.quotas && options.settings.weights_are_link_rates) {
-        // Parents only: all routers share them, so the share of one router is small. The caches of a location
+        // Parents only: all routers share them, so the share of one router is small. The caches of a zone
         // are shared by few routers. Their shares are one lookup or more, and grow with the answers that a
         // router sees, so that pooled budgets were used less (docs/results.md).
         if (listing.complete) cold_parents.clear();
@@ -266,8 +266,8 @@
 
 // ---- request counts
 
-int Exchange::count_request(ObjectId object, const ClockReadings& now) {
-    return options.features.request_counts ? request_counts.count_request(object, now.unix) : 0;
+int Exchange::count_lookup(ObjectId object, const ClockReadings& now) {
+    return options.features.request_counts ? request_counts.count_lookup(object, now.unix) : 0;
 }
 
 int Exchange::alive_routers_in_zone() const {
--- a/src/shared/exchange.hpp
+++ b/src/shared/exchange.hpp
@@ -9,13 +9,15 @@
 //     exchange.record_purge(notice, now);              //   before the routing module gets them
 //     auto changes = exchange.tick(live_since, now);   // what else the routing module has to be told
 //
-//     auto quota = exchange.available_quota(id, now);           // at the start of a turn, for cold_servers()
-//     auto write_until = exchange.consume(id, work, tag, now);  // at its end, for what is to be sent
+//     // At the start of an event batch, for each of cold_servers():
+//     auto quota = exchange.available_quota(id, now);
+//     // At its end, for what is to be sent:
+//     auto write_until = exchange.consume(id, work, tag, now);
 //
 // Contract:
 //   - A router that receives nothing decides as it would without an Exchange, except for cold budgets (see
 //     quotas.hpp). What is received closes servers, bounds ages, adds to own samples where these are too few,
-//     and raises request counts by requests that others truly had.
+//     and raises request counts by lookups that other routers truly had.
 //   - The bounds of facts.hpp, quotas.hpp, health_reports.hpp and request_counts.hpp hold, also on memory.
 //   - It sends only through the membership, so within the membership's budget of bytes per second.
 //   - A payload that can't be decoded is dropped whole and counted.
@@ -92,10 +94,10 @@
     PeerHealthReport peer_health(CacheId server, Micros started, const ClockReadings& now) const;
     std::vector<CacheId> reported_servers() const { return health_reports.reported_servers(); }
 
-    // Counts a request for the first part of an object. Returns how many other routers of the location are
+    // Counts a lookup of the first part of an object. Returns how many other routers of the zone are
     // known to have been asked for it.
-    int count_request(ObjectId object, const ClockReadings& now);
-    // The routers of the location that are alive, this one included; 1 where request counts are not shared.
+    int count_lookup(ObjectId object, const ClockReadings& now);
+    // The routers of the zone that are alive, this one included; 1 where request counts are not shared.
     int alive_routers_in_zone() const;
 
     std::string load(RouterIndex to, std::size_t room, Micros now) override;
--- a/src/shared/facts.cpp
+++ b/src/shared/facts.cpp
@@ -174,7 +174,7 @@
 
 // ---- effect on the routing module
 
-// Whether no other server of the same kind and location is open.
+// Whether no other server of the same kind and zone is open.
 bool ReplicatedFacts::is_last_of_its_role(const ListedServer& server) const {
     for (auto& [id, other] : servers)
         if (id != server.endpoint.entry.id && other.reported == EndpointState::Ready &&
@@ -199,7 +199,7 @@
         if (!disconnected && now - contradicted_since >= contradiction_timeout) record.lapsed = true;
     }
     if (record.lapsed) return entry.state;
-    // The last open server of a location is closed by other routers' reports only while this router does not
+    // The last open server of a zone is closed by other routers' reports only while this router does not
     // hear its own coordinator.
     if (live_since > 0 && server.reported == EndpointState::Ready && is_last_of_its_role(server))
         return entry.state;
--- a/src/shared/health_reports.hpp
+++ b/src/shared/health_reports.hpp
@@ -8,8 +8,9 @@
 //     reports.expire(now);    // at intervals
 //
 // For each server that is worse than its peers, a router reports how many samples it has (`max_samples` count
-// at most), the share of failures, and how many times slower than its peers the server is. A complaint is
-// weighted
+// at most), the share of failures, and how many times slower than its peers the server is.
+//
+// A complaint is weighted
 //   - by age: half after `half_life`, nothing after `report_lifetime`;
 //   - by the trust in the reporter: a quarter where the reporter is suspected, degraded, or leaving;
 //   - by zone: the newest complaint from a zone counts in full and each further one half as much as the one
--- a/src/shared/quotas.hpp
+++ b/src/shared/quotas.hpp
@@ -24,8 +24,8 @@
 //      compared, as each router measures a duration. The clocks have to be steady: they neither jump nor
 //      stand still, and run within 1% of each other, which `clock_margin` covers.
 //   3. The quota is checked again where the request is written (`use_validity`), so a process that was
-//   stopped
-//      in between doesn't send. A stop between that check and the system call right after it is not covered.
+//      stopped in between doesn't send. A stop between that check and the system call right after it is
+//      not covered.
 //   4. A lease is accepted once, by the number of its ask. A restarted router does not know the numbers of
 //      its previous generation.
 //   5. A restarted router neither uses nor grants before all that its previous generation may have granted
--- a/src/shared/request_counts.cpp
+++ b/src/shared/request_counts.cpp
@@ -50,7 +50,7 @@
     while (send_queue.size() > 2 * max_names) send_queue.pop_front();
 }
 
-int RequestCounts::count_request(std::uint64_t name, Micros now) {
+int RequestCounts::count_lookup(std::uint64_t name, Micros now) {
     advance_epoch(now);
     auto* entry = find_or_insert(name);
     if (!entry) return 0;
@@ -87,7 +87,7 @@
 std::vector<Count> RequestCounts::next_to_send(std::size_t max_count, Micros now) {
     advance_epoch(now);
     std::vector<Count> counts;
-    // The newest first, as it is the likeliest to be requested elsewhere next.
+    // The newest first, as it is the likeliest to be looked up elsewhere next.
     std::deque<std::uint64_t> requeued;
     while (counts.size() < max_count && !send_queue.empty()) {
         auto name = send_queue.back();
--- a/src/shared/request_counts.hpp
+++ b/src/shared/request_counts.hpp
@@ -1,4 +1,4 @@
-// Counts the other routers of the location that were asked for an object, for the admission decision of the
+// Counts the other routers of the zone that were asked for an object, for the admission decision of the
 // CacheShield algorithm.
 //
 // An epoch is half a minute of Unix time. Within an epoch each name has a set of the routers that were asked
@@ -6,12 +6,12 @@
 // bitwise or, so any router may forward it, late, more than once and in any order. The bits that are set,
 // except the own one, are at most as many as the other routers that were asked, and so at most the lookups
 // they had. The sum with the router's own count therefore never falls below the own count, and never rises
-// above what the location saw. From four on, a higher count hardly changes the decision, so more precision is
+// above what the zone saw. From four on, a higher count hardly changes the decision, so more precision is
 // not needed. This is a linear count with few bits. The usual estimate of the true number (Whang,
 // Vander-Zanden, Taylor, 1990) is not used, as it may be too high.
 //
 //     RequestCounts counts(self, routers);
-//     int others = counts.count_request(name, now);
+//     int others = counts.count_lookup(name, now);
 //     for (auto& count : counts.next_to_send(12, now)) send(count);
 //
 // A restarted router keeps its bit. The sets of an epoch count half in the next epoch, as the routing module
@@ -47,9 +47,9 @@
     static constexpr int saturation_count = 6;  // a set with more bits than this is not sent any more
 
     RequestCounts(RouterIndex self, int routers);
-    // Counts a request to this router. Returns how many other routers of the location are known to have been
+    // Counts a lookup at this router. Returns how many other routers of the zone are known to have been
     // asked for the name.
-    int count_request(std::uint64_t name, Micros now);
+    int count_lookup(std::uint64_t name, Micros now);
     int other_routers_asked(std::uint64_t name, Micros now) const;
     // Joins the set of another router. Returns true where that adds a bit.
     bool receive(const Count& count, Micros now);
--- a/tests/facts_spread_test.cpp
+++ b/tests/facts_spread_test.cpp
@@ -66,7 +66,7 @@
                     auto times = one.times(fleet->clock(router));
                     bool is_asked = unit(chance) * static_cast<double>(second) <
                                     requests_per_s * static_cast<double>(step);
-                    if (is_asked) one.exchange().count_request(object(chance), times);
+                    if (is_asked) one.exchange().count_lookup(object(chance), times);
                     one.exchange().set_time(times);
                     one.share(times.unix);
                 });
--- a/tests/flaws/shared_flaws.cpp
+++ b/tests/flaws/shared_flaws.cpp
@@ -291,7 +291,7 @@
 
 bool old_counts_are_dropped() {
     RequestCounts request_counts(0, 40);
-    request_counts.count_request(1, noon_us);
+    request_counts.count_lookup(1, noon_us);
     request_counts.receive({7, RequestCounts::epoch_of(noon_us) - 5, 0xffffffff}, noon_us);
     return request_counts.other_routers_asked(7, noon_us) == 0;
 }
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -162,7 +162,7 @@
     CHECK(facts.tick(noon_us, noon_us + second).listing.caches.empty());
 }
 
-TEST_CASE("a location's last server is closed by a received fact only while the coordinator is not heard") {
+TEST_CASE("a zone's last server is closed by a received fact only while the coordinator is not heard") {
     for (bool live : {true, false}) {
         auto facts = make_facts();
         facts.apply_listing(listing({endpoint(1)}, true), noon_us);
@@ -521,7 +521,7 @@
     CHECK(ejection_reason(module, *server, noon) == nullptr);
 }
 
-TEST_CASE("a location's servers stay usable if peer reports condemn all of them") {
+TEST_CASE("a zone's servers stay usable if peer reports condemn all of them") {
     auto module = router();
     for (CacheId id : {1, 2, 3}) find_server(module, id)->peer_report = {20, 1, 20};
     for (auto& server : module.servers) server.last_half_open_probe_at = noon;
@@ -561,7 +561,7 @@
     for (int step = 0; step < 4000; step++) {
         auto who = static_cast<RouterIndex>(chance() % routers);
         std::uint64_t name = 1 + chance() % 50;
-        all[static_cast<std::size_t>(who)].count_request(name, noon_us);
+        all[static_cast<std::size_t>(who)].count_lookup(name, noon_us);
         asked_routers[name].insert(who);
         auto& from = all[chance() % routers];
         auto& to = all[chance() % routers];
@@ -589,11 +589,11 @@
     CHECK(request_counts.receive({7, epoch, six}, noon_us));
     CHECK(!request_counts.receive({7, epoch, six}, noon_us));
     CHECK(request_counts.other_routers_asked(7, noon_us) == 6);
-    CHECK(request_counts.count_request(8, noon_us + RequestCounts::epoch_duration) == 0);
+    CHECK(request_counts.count_lookup(8, noon_us + RequestCounts::epoch_duration) == 0);
     CHECK(request_counts.other_routers_asked(7, noon_us + RequestCounts::epoch_duration) == 3);
     CHECK(!request_counts.receive({9, epoch - 1, six}, noon_us + RequestCounts::epoch_duration));
     CHECK(request_counts.other_routers_asked(9, noon_us + RequestCounts::epoch_duration) == 0);
-    request_counts.count_request(8, noon_us + 2 * RequestCounts::epoch_duration);
+    request_counts.count_lookup(8, noon_us + 2 * RequestCounts::epoch_duration);
     CHECK(request_counts.other_routers_asked(7, noon_us + 2 * RequestCounts::epoch_duration) == 0);
 }
 
@@ -604,12 +604,12 @@
                                                                       : RequestCounts::bit_of(1);
     for (std::uint64_t i = 1; i <= 100; i++) request_counts.receive({i, epoch, other}, noon_us);
     for (std::uint64_t i = 1000; i < 1000 + 3 * RequestCounts::max_names; i++)
-        request_counts.count_request(i, noon_us);
+        request_counts.count_lookup(i, noon_us);
     CHECK(request_counts.size() <= RequestCounts::max_names);
     for (std::uint64_t i = 1; i <= 100; i++) REQUIRE(request_counts.other_routers_asked(i, noon_us) == 1);
 }
 
-TEST_CASE("p grows in small steps with the share of the location that is alive") {
+TEST_CASE("p grows in small steps with the share of the zone that is alive") {
     auto facts = a_site();
     facts.routers_by_zone = {0, 40, 2};
     Router module(facts, 1);
