--- a/src/members/book.cpp
+++ b/src/members/book.cpp
@@ -25,12 +25,12 @@
 }  // namespace
 
 MergedEndpoints::MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
-                                 operate::Membership membership)
+                                 operate::EndpointListMode endpoint_list_mode)
     : zone(facts.zone),
       parent_kind(facts.parent_kind),
       origin_kind(facts.origin_kind),
       zones(zones),
-      membership(membership) {}
+      endpoint_list_mode(endpoint_list_mode) {}
 
 // Caches of other zones get no requests from this router, so it is not told of them.
 bool MergedEndpoints::is_relevant(const feed::Endpoint& endpoint) const {
@@ -49,7 +49,7 @@
 std::optional<feed::Endpoint> MergedEndpoints::merge(CacheId id, const feed::Endpoint* streamed) const {
     auto by_coordinator = listed.find(id);
     bool is_listed = by_coordinator != listed.end();
-    bool only_streamed = streamed_endpoints && membership == operate::Membership::Streamed;
+    bool only_streamed = streamed_endpoints && endpoint_list_mode == operate::EndpointListMode::Streamed;
     if (gone.contains(id) || (streamed && streamed->entry.state == EndpointState::Gone)) return {};
     if (!streamed) return is_listed && !only_streamed ? std::optional(by_coordinator->second) : std::nullopt;
     auto by_stream = *streamed;
@@ -119,27 +119,30 @@
     auto previous = std::exchange(streamed_endpoints, std::move(next));
     static const Endpoints none;
     auto &old = previous ? *previous : none, &current = streamed_endpoints ? *streamed_endpoints : none;
-    // Streamed membership applies only while a version is active, so its beginning and end affect every
-    // entry.
-    bool affects_all = membership == operate::Membership::Streamed && !previous != !streamed_endpoints;
+    // EndpointListMode::Streamed applies only while a version is active, so its beginning and end affect
+    // every entry.
+    bool affects_all =
+        endpoint_list_mode == operate::EndpointListMode::Streamed && !previous != !streamed_endpoints;
     feed::Listing changes, removals;
-    auto old_box = old.begin();
-    for (auto box = current.begin();; ++box) {
-        for (; old_box != old.end() && (box == current.end() || old_box->entry.id < box->entry.id);
-             ++old_box) {
-            assumed_starts.erase(old_box->entry.id);
-            announce_changes(old_box->entry.id, nullptr, changes, removals);
+    auto old_endpoint = old.begin();
+    for (auto endpoint = current.begin();; ++endpoint) {
+        for (; old_endpoint != old.end() &&
+               (endpoint == current.end() || old_endpoint->entry.id < endpoint->entry.id);
+             ++old_endpoint) {
+            assumed_starts.erase(old_endpoint->entry.id);
+            announce_changes(old_endpoint->entry.id, nullptr, changes, removals);
         }
-        if (box == current.end()) break;
-        auto id = box->entry.id;
-        bool known = old_box != old.end() && old_box->entry.id == id;
-        bool moved = known && (old_box->address != box->address || old_box->port != box->port);
+        if (endpoint == current.end()) break;
+        auto id = endpoint->entry.id;
+        bool known = old_endpoint != old.end() && old_endpoint->entry.id == id;
+        bool moved =
+            known && (old_endpoint->address != endpoint->address || old_endpoint->port != endpoint->port);
         bool is_listed = listed.contains(id);
-        if (box->entry.started_at == 0 && (moved || (previous && !known && !is_listed)))
+        if (endpoint->entry.started_at == 0 && (moved || (previous && !known && !is_listed)))
             assumed_starts[id] = now;
-        if (!known || moved || !equal(*old_box, *box) || affects_all)
-            announce_changes(id, &*box, changes, removals);
-        if (known) ++old_box;
+        if (!known || moved || !equal(*old_endpoint, *endpoint) || affects_all)
+            announce_changes(id, &*endpoint, changes, removals);
+        if (known) ++old_endpoint;
     }
     if (affects_all) {
         std::vector<CacheId> ids;
@@ -185,7 +188,7 @@
 
 std::optional<std::string> MergedEndpoints::describe_unserved(const Endpoints& next,
                                                               const std::vector<int>& emptied_zones) const {
-    bool only_streamed = membership == operate::Membership::Streamed;
+    bool only_streamed = endpoint_list_mode == operate::EndpointListMode::Streamed;
     std::map<int, int> before, after;  // number of ready servers, by role()
     auto count = [&](std::map<int, int>& ready_servers, const feed::Endpoint& endpoint) {
         bool ready = endpoint.entry.state == EndpointState::Ready && !gone.contains(endpoint.entry.id);
--- a/src/members/book.hpp
+++ b/src/members/book.hpp
@@ -1,18 +1,18 @@
-// The merged endpoint list: combines the coordinator's list with the boxes of streamed configuration into the
-// one list that the router and the pool work with. No I/O.
+// The merged endpoint list: combines the coordinator's list with the servers of streamed configuration into
+// the one list that the router and the pool work with. No I/O.
 //
-// Of each box, by its id:
+// Of each server, by its id:
 //   coordinator   stream      result
-//   ready         -           the coordinator's entry (merged membership), or gone (streamed)
+//   ready         -           the coordinator's entry (EndpointListMode::Merged), or gone (Streamed)
 //   -             any         the stream's entry
-//   any           any         address, zone, kind and weight of the coordinator (merged) or of the stream
-//                             (streamed); the later start; the worse state: gone, else draining, else ready
+//   any           any         address, zone, kind and weight of the coordinator (Merged) or of the stream
+//                             (Streamed); the later start; the worse state: gone, else draining, else ready
 //   gone          any         gone, until the coordinator itself lists it again
 // So a drain holds until the side that ordered it withdraws it. Purges come from the coordinator alone.
 //
-// If a version adds a box while another version was active, or moves one to another address, and states no
-// start time, the box counts as started when that version became active: it is taken for cold, so that it is
-// not overloaded.
+// If a version adds a server while another version was active, or moves one to another address, and states no
+// start time, the server counts as started when that version became active. It is then taken for cold, so
+// that it is not overloaded.
 //
 //   feed::Listing changes = endpoints.update_from_coordinator(listing, now);
 //   router.apply(changes);
@@ -33,16 +33,16 @@
 namespace quillgrade::members {
 
 using Endpoints = std::vector<feed::Endpoint>;  // in ascending order of id, each id once
-// When each box that states no start time became active, Unix microseconds.
+// When each server that states no start time became active, Unix microseconds.
 using StartTimes = std::vector<std::pair<CacheId, Micros>>;
 
 class MergedEndpoints {
 public:
     MergedEndpoints(const SiteSettings& facts, const std::vector<std::string>& zones,
-                    operate::Membership membership);
+                    operate::EndpointListMode endpoint_list_mode);
 
-    // Both return what changes for the router: first new and changed boxes, then those that are gone (make
-    // before break).
+    // Both return what changes for the router: first new and changed servers, then those that are gone
+    // (make before break).
     feed::Listing update_from_coordinator(const feed::Listing& update, Micros now);
     // `next` is held until the next call; null: no version is active.
     feed::Listing update_from_stream(std::shared_ptr<const Endpoints> next, Micros now);
@@ -71,11 +71,11 @@
 
     int zone, parent_kind, origin_kind;
     std::vector<std::string> zones;
-    operate::Membership membership;
+    operate::EndpointListMode endpoint_list_mode;
     std::unordered_map<CacheId, feed::Endpoint> listed;  // by the coordinator, ready or draining
     std::unordered_map<CacheId, Micros> gone;            // according to the coordinator, and since when
     std::shared_ptr<const Endpoints> streamed_endpoints;
-    std::unordered_map<CacheId, Micros> assumed_starts;     // of streamed boxes that state no start time
+    std::unordered_map<CacheId, Micros> assumed_starts;     // of streamed servers that state no start time
     std::unordered_map<CacheId, feed::Endpoint> announced;  // to the router, as of the last call
 };
 
--- a/src/node/steering.cpp
+++ b/src/node/steering.cpp
@@ -35,7 +35,7 @@
              control.form,
              {launch.name, control.cluster, launch.terms.zones[static_cast<std::size_t>(launch.facts.zone)]},
              longest_version(control, launch.room)},
-      book(launch.facts, launch.terms.zones, control.membership),
+      book(launch.facts, launch.terms.zones, control.endpoint_list_mode),
       ledger(allowed(plan, launch), control.kinds,
              {control.canary, control.canary_duration, control.canary_min_increase}),
       store(plan.store),
--- a/src/operate/plan.cpp
+++ b/src/operate/plan.cpp
@@ -155,8 +155,8 @@
     read_trial(members, control);
     read_word(members, "form", control.form,
               {{"whole", discovery::Form::Whole}, {"incremental", discovery::Form::Changes}});
-    read_word(members, "membership", control.membership,
-              {{"merged", Membership::Merged}, {"streamed", Membership::Streamed}});
+    read_word(members, "membership", control.endpoint_list_mode,
+              {{"merged", EndpointListMode::Merged}, {"streamed", EndpointListMode::Streamed}});
     members.read_string("cluster", control.cluster, 200);
     double megabytes = 0;
     members.read_number("longest_version_mb", megabytes, 0.01, 64);
--- a/src/operate/plan.hpp
+++ b/src/operate/plan.hpp
@@ -17,7 +17,8 @@
 
 namespace quillgrade::operate {
 
-enum class Membership {
+// How the servers of streamed configuration combine with those that the coordinator lists.
+enum class EndpointListMode {
     // The servers of the coordinator and of the stream together.
     Merged,
     // While a version of Boxes is active, only its servers. Drains ordered by the coordinator still hold.
@@ -29,7 +30,7 @@
     std::vector<feed::Address> services;  // in order of preference, 1 to 8
     discovery::Form form = discovery::Form::Whole;
     std::vector<discovery::Kind> kinds = {discovery::Kind::Boxes, discovery::Kind::Amounts};
-    Membership membership = Membership::Merged;
+    EndpointListMode endpoint_list_mode = EndpointListMode::Merged;
     std::string cluster;
     std::size_t max_version_bytes = 0;  // 0: a sixteenth of the memory limit, 8 MB at most
     bool canary = true;
--- a/src/vault/vault.hpp
+++ b/src/vault/vault.hpp
@@ -25,7 +25,7 @@
 
 struct Snapshot {
     std::vector<version::Bundle> current, settled;
-    members::StartTimes start_times;  // of boxes in `current`
+    members::StartTimes start_times;  // of the servers in `current`
     Micros saved_at = 0;              // Unix microseconds, when `current` was written
 };
 
--- a/src/version/check.hpp
+++ b/src/version/check.hpp
@@ -1,6 +1,6 @@
-// Validates a bundle in slices, so that a version with thousands of boxes does not delay lookups. A resource
-// that is unchanged since the active version is not parsed again. All errors are counted; the first few are
-// reported in full.
+// Validates a bundle in slices, so that a version with thousands of servers does not delay lookups. A
+// resource that is unchanged since the active version is not parsed again. All errors are counted; the first
+// few are reported in full.
 //
 //   Validator validator(std::move(bundle), active_version, limits);
 //   while (!validator.step(256)) serve_lookups();
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -48,8 +48,8 @@
 };
 
 struct MergeFixture {
-    explicit MergeFixture(operate::Membership membership = operate::Membership::Merged)
-        : endpoints(a_site(), terms().zones, membership) {}
+    explicit MergeFixture(operate::EndpointListMode endpoint_list_mode = operate::EndpointListMode::Merged)
+        : endpoints(a_site(), terms().zones, endpoint_list_mode) {}
     void update_from_coordinator(const feed::Listing& update, Micros at = noon) {
         router.apply(endpoints.update_from_coordinator(update, at));
     }
@@ -87,8 +87,8 @@
 }
 
 TEST_CASE("a version does not bring back a box that the coordinator reports as gone") {
-    for (auto membership : {operate::Membership::Merged, operate::Membership::Streamed}) {
-        MergeFixture fixture(membership);
+    for (auto endpoint_list_mode : {operate::EndpointListMode::Merged, operate::EndpointListMode::Streamed}) {
+        MergeFixture fixture(endpoint_list_mode);
         fixture.update_from_coordinator(listing({box(1), box(2)}, true));
         fixture.update_from_stream(version({box(1), box(2)}));
         fixture.update_from_coordinator(listing({box(1, EndpointState::Gone)}));
@@ -104,7 +104,7 @@
 TEST_CASE(
     "with streamed membership only the active version's boxes are used, and without one the coordinator's "
     "list") {
-    MergeFixture fixture(operate::Membership::Streamed);
+    MergeFixture fixture(operate::EndpointListMode::Streamed);
     fixture.update_from_coordinator(listing({box(1), box(2)}, true));
     CHECK(fixture.router.now.size() == 2);
     fixture.update_from_stream(version({box(2, EndpointState::Ready, 99)}));
@@ -186,8 +186,9 @@
     for (unsigned seed = 1; seed <= 200; seed++) {
         std::mt19937 generator(seed);
         auto draw = [&](int n) { return static_cast<int>(generator() % static_cast<unsigned>(n)); };
-        auto membership = seed % 2 ? operate::Membership::Merged : operate::Membership::Streamed;
-        MergeFixture fixture(membership);
+        auto endpoint_list_mode =
+            seed % 2 ? operate::EndpointListMode::Merged : operate::EndpointListMode::Streamed;
+        MergeFixture fixture(endpoint_list_mode);
         std::map<CacheId, EndpointState> list, stream;
         bool has_version = false;
         auto random_boxes = [&] {
@@ -217,7 +218,7 @@
                     return (listed && list[id] == state) || (named && stream[id] == state);
                 };
                 auto expected = EndpointState::Gone;
-                bool by_stream = has_version && membership == operate::Membership::Streamed;
+                bool by_stream = has_version && endpoint_list_mode == operate::EndpointListMode::Streamed;
                 if (((listed && !by_stream) || named) && !has(EndpointState::Gone))
                     expected = has(EndpointState::Draining) ? EndpointState::Draining : EndpointState::Ready;
                 REQUIRE_MESSAGE(fixture.router.state(id) == expected,
--- a/tests/operate_test.cpp
+++ b/tests/operate_test.cpp
@@ -35,7 +35,7 @@
     auto& control = *result.config.control;
     CHECK(control.services.size() == 2);
     CHECK(control.form == discovery::Form::Changes);
-    CHECK(control.membership == Membership::Streamed);
+    CHECK(control.endpoint_list_mode == EndpointListMode::Streamed);
     CHECK(control.kinds == std::vector{discovery::Kind::Boxes});
     CHECK(control.max_version_bytes == 2U << 20);
     CHECK(control.canary_duration == 30 * test_second);
