--- a/src/peers/membership.hpp
+++ b/src/peers/membership.hpp
@@ -329,7 +329,7 @@
     Micros next_digest_at = 0, next_reprobe_at = 0, next_expiry_at = 0, last_heard_any = 0;
     int early_digests = 0;  // digests to send soon, because the last found differences or this router is new
     RouterIndex digest_start = 0;        // where the next digest starts
-    bool urgent_gossip_pending = false;  // urgent news that has been sent to nobody yet
+    bool urgent_gossip_pending = false;  // urgent updates that were sent to nobody yet
 };
 
 }  // namespace quillgrade::peers
--- a/src/peers/membership_anti_entropy.cpp
+++ b/src/peers/membership_anti_entropy.cpp
@@ -104,7 +104,7 @@
     return transfer && transfer->phase() == StateTransfer::Phase::Running;
 }
 
-// A router that has just started does not gossip: the others know its news already, and gossip would take
+// A router that has just started does not gossip: the others know its updates already, and gossip would take
 // the bytes of the pages it requests. Where all routers start at once, gossip is needed.
 bool Membership::suppresses_gossip() const { return transferring() && transfer->complete_helper_answered(); }
 
--- a/src/peers/membership_probes.cpp
+++ b/src/peers/membership_probes.cpp
@@ -161,9 +161,9 @@
     totals.accusations++;
     accuse(probe.target, self_number, 0, now);
     // The accused is told first, so that it can refute before the accusation has spread to many.
-    Message news;
-    news.type = MessageType::Gossip;
-    send(probe.target, news, SendPriority::Answer, now);
+    Message gossip_message;
+    gossip_message.type = MessageType::Gossip;
+    send(probe.target, gossip_message, SendPriority::Answer, now);
 }
 
 // Probes doubtful routers in addition to the schedule: those whose link seems cut one way, those that
--- a/src/peers/membership_sending.cpp
+++ b/src/peers/membership_sending.cpp
@@ -82,9 +82,9 @@
 // Sends gossip at once that would otherwise wait for the next probe.
 void Membership::send_gossip(std::size_t receivers, Micros now) {
     for (auto who : pick_peers(receivers, -1)) {
-        Message news;
-        news.type = MessageType::Gossip;
-        send(who, news, SendPriority::Answer, now);
+        Message gossip_message;
+        gossip_message.type = MessageType::Gossip;
+        send(who, gossip_message, SendPriority::Answer, now);
     }
 }
 
@@ -191,14 +191,14 @@
 }
 
 bool Membership::send_piggyback(RouterIndex to, bool urgent, Micros now) {
-    Message news;
-    news.type = MessageType::Gossip;
+    Message gossip_message;
+    gossip_message.type = MessageType::Gossip;
     auto priority = urgent ? SendPriority::IndirectProbe : SendPriority::Background;
     // Guards against datagrams that have no room for the payload they are sent for.
     bool enough =
         available_bytes(now) - reserve_seconds(priority) * settings.bytes_per_s >= min_piggyback_datagram;
     if (!enough) return false;
-    return send(to, news, priority, now, {}, true);
+    return send(to, gossip_message, priority, now, {}, true);
 }
 
 bool Membership::send_piggyback(std::size_t most, int in_zone, bool urgent, Micros now) {
--- a/src/version/ledger.cpp
+++ b/src/version/ledger.cpp
@@ -21,8 +21,8 @@
 }  // namespace
 
 VersionManager::VersionManager(ConfiguredLimits limits, std::vector<Kind> accepted_kinds,
-                               const Canary::Terms& terms)
-    : limits(std::move(limits)), accepted_kinds(std::move(accepted_kinds)), canary(terms) {}
+                               const Canary::Settings& canary_settings)
+    : limits(std::move(limits)), accepted_kinds(std::move(accepted_kinds)), canary(canary_settings) {}
 
 std::optional<std::string> VersionManager::restore(const std::vector<Bundle>& stored) {
     VersionSet set;
--- a/src/version/ledger.hpp
+++ b/src/version/ledger.hpp
@@ -58,7 +58,8 @@
 
 class VersionManager {
 public:
-    VersionManager(ConfiguredLimits limits, std::vector<Kind> accepted_kinds, const Canary::Terms& terms);
+    VersionManager(ConfiguredLimits limits, std::vector<Kind> accepted_kinds,
+                   const Canary::Settings& canary_settings);
 
     // Activates stored versions, before anything else is called. Returns the reason where one is not valid;
     // nothing is active then.
--- a/src/version/trial.cpp
+++ b/src/version/trial.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void Canary::begin(const LookupCounts& counts, Micros now) {
-    if (!terms.enabled) return;
+    if (!settings.enabled) return;
     newest_begun = now;
     if (state == State::Running) return;
     state = State::Running;
@@ -42,7 +42,7 @@
     worse_in_a_row = is_worse(counts, now) ? worse_in_a_row + 1 : 0;
     if (worse_in_a_row >= 2)
         state = State::Failed;
-    else if (worse_in_a_row == 0 && now - newest_begun >= terms.duration)
+    else if (worse_in_a_row == 0 && now - newest_begun >= settings.duration)
         state = State::Passed;
     return state;
 }
@@ -65,7 +65,7 @@
     double rate0 = bad0 / seconds0, rate1 = bad1 / seconds1;
     double pooled_share = (bad0 + bad1) / (n0 + n1);
     double standard_error = std::sqrt(pooled_share * (1 - pooled_share) * (1 / n0 + 1 / n1));
-    bool worse = share1 - share0 >= terms.min_increase &&
+    bool worse = share1 - share0 >= settings.min_increase &&
                  share1 - share0 >= min_standard_errors * standard_error && rate1 >= min_rate_factor * rate0;
     if (worse) {
         std::array<char, 200> text;
--- a/src/version/trial.hpp
+++ b/src/version/trial.hpp
@@ -24,12 +24,12 @@
 class Canary {
 public:
     enum class State { Idle, Running, Passed, Failed };
-    struct Terms {
+    struct Settings {
         bool enabled = true;
         Micros duration = 15'000'000;
         double min_increase = 0.10;  // of the share of unsuccessful lookups, 0 to 1
     };
-    explicit Canary(const Terms& terms) : terms(terms) {}
+    explicit Canary(const Settings& settings) : settings(settings) {}
 
     // A version becomes active. One that follows another still on trial is judged together with it, against
     // the time before both; the duration counts from the newest.
@@ -49,7 +49,7 @@
     };
     bool is_worse(const LookupCounts& counts, Micros now);
 
-    Terms terms;
+    Settings settings;
     State state = State::Idle;
     std::deque<Sample> baseline;               // collected while no version is on trial
     std::deque<Sample> recent;                 // of the running trial
--- a/tests/version_test.cpp
+++ b/tests/version_test.cpp
@@ -68,7 +68,7 @@
 }
 
 struct ManagerFixture {
-    explicit ManagerFixture(Canary::Terms trial = {false, 0, 0})
+    explicit ManagerFixture(Canary::Settings trial = {false, 0, 0})
         : versions(configured_limits(a_site(), terms()), {Kind::Boxes, Kind::Amounts}, trial) {}
     // Steps until there is no work left, and applies each proposal. Returns how many were applied.
     int work_until_idle(Micros now = noon) {
