--- a/tests/streamed_test.cpp
+++ b/tests/streamed_test.cpp
@@ -387,7 +387,8 @@
     response.add_resources()->set_type_url(boxes_type);
     response.mutable_resources(0)->set_value("\x0a\x01x\x12\x7f half");
     control.send(response);
-    CHECK(control.answer("garbage")->reason.find("no message of kind Boxes") != std::string::npos);
+    CHECK(control.answer("garbage")->reason.find("can't be parsed as a message of kind Boxes") !=
+          std::string::npos);
     response.set_nonce("wrong nonce, wrong version");
     response.set_version_info("two");
     control.send(response);
