--- a/src/control.cpp
+++ b/src/control.cpp
@@ -15,7 +15,8 @@
 
 constexpr Micros ms = 1000, second = 1000 * ms;
 
-// CacheShield: the sum of p over the zone's routers, the range of p, and the steepness q of psi.
+// CacheShield: the sum of p over the zone's routers, the range of p, and the steepness q of psi. These are
+// the starting values of the design.
 constexpr double total_p = 20, min_p = 0.5, max_p = 1, q = 0.5;
 constexpr Micros halving_interval = 30 * second;
 // An entry takes some 40 bytes, so the table stays under a megabyte.
@@ -495,7 +496,7 @@
 
 // All routers together may send a cold server a multiple of what its link carries within any window. This
 // router uses its share of that, less a margin. Where the share is less than one lookup, the router sends one
-// lookup in as many windows as add up to it, scored at random, so that all routers together keep to the
+// lookup in as many windows as add up to it, drawn at random, so that all routers together keep to the
 // budget except for random variation.
 //
 // Where the link rate is not known, the rate stands for it that this router has seen at the server's peers,
@@ -619,8 +620,8 @@
 bool compatible_with_other_attempts(Router& router, const PendingLookup& lookup, std::size_t number,
                                     const Server& to, Micros now);
 
-// A lookup that a cache may have executed is not sent again, unless its traffic type allows that at this time
-// and place. See compatible_with_other_attempts().
+// Rule 2: a lookup that a cache may have executed is not sent again, unless its traffic type allows that at
+// this time and place. See compatible_with_other_attempts().
 bool may_attempt(Router& router, const PendingLookup& lookup, const Server& to, Micros now) {
     int limit = router.max_attempts, lookup_limit = lookup.info.max_attempts;
     if (lookup.done || static_cast<int>(lookup.attempts.size()) >=
--- a/src/node/steering.hpp
+++ b/src/node/steering.hpp
@@ -1,6 +1,7 @@
 // Streamed configuration at work: control services, the life of versions, the store, and the one list of
 // members. Exists only where the operators' file names a control service. Decides nothing itself: which
-// service is asked is Contact's, what becomes of a version the Ledger's, who is a member the Book's.
+// service is asked is Contact's, what becomes of a version the VersionManager's, who is a member the
+// MergedEndpoints'.
 #pragma once
 
 #include <map>
--- a/src/node/turn.hpp
+++ b/src/node/turn.hpp
@@ -44,7 +44,7 @@
         std::string have, ticket, body;
         Micros taken;
         bool answered = false;
-        std::vector<AttemptPlan> orders;  // of the transmissions so far
+        std::vector<AttemptPlan> orders;  // of the attempts so far
         Micros look_at = 0;               // 0: no look is due
         Timer look;
     };
--- a/src/rig/fleet/fleet.hpp
+++ b/src/rig/fleet/fleet.hpp
@@ -51,7 +51,7 @@
     bool started(int router) const;  // started and not ended
     int exit_code(int router) const { return all[static_cast<std::size_t>(router)].exit_code; }
     Micros changed_at(int router) const;  // when it was last started, ended, stopped or continued
-    // Its clock from now on: that much off the true one, member_state still or not.
+    // Its clock from now on: that much off the true one, standing still or not.
     void clock(int router, Micros off, bool stands);
     void disturbed(int router) { all[static_cast<std::size_t>(router)].changed = unix_now(); }
     void boxes(int router, bool cut);        // whether it reaches its boxes
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -731,7 +731,7 @@
     CHECK(pick_cache(r, pending, noon + 600 * test_ms) == first);
 }
 
-// Guards against congested caches that go on accepting the largest lookups.
+// Guards against congested caches that go on accepting the largest lookups. Seen in: first incidents.
 TEST_CASE("under congestion the largest lookups are shed and the small ones are not") {
     auto r = router();
     for (int i = 0; i < 20; i++) r.traffic_types[0].sending_times.push_back({noon, 100e3 + i * 50e3});
@@ -745,7 +745,7 @@
 }
 
 // Guards against fills that take seconds at a congested link while hits are fast, so that the caches do not
-// look congested.
+// look congested. Seen in: depot days.
 TEST_CASE("under fill congestion a large lookup asks for a held copy only and is rejected on a miss") {
     auto r = router();
     for (int i = 0; i < 20; i++) r.traffic_types[0].sending_times.push_back({noon, 100e3 + i * 50e3});
